--- a/pulleyroute/net/host.py
+++ b/pulleyroute/net/host.py
@@ -243,18 +243,18 @@
     def knowledge(self) -> list[dict[str, Any]]:
         """What the decisions know: in general, then of each instance."""
         rules = self._dispatcher
-        return [snapshot.knowledge(rules), *map(snapshot.worker, rules.workers.values())]
+        return [snapshot.pack_estimates(rules), *map(snapshot.pack_worker, rules.workers.values())]
 
     def learn(self, values: dict[str, Any], shift: int) -> None:
         """Take over one item of another's knowledge; `shift` turns its clock into this one."""
         if "id" in values:
-            snapshot.learn_worker(self._dispatcher, values, shift)
+            snapshot.restore_worker(self._dispatcher, values, shift)
         else:
-            snapshot.learn(self._dispatcher, values)
+            snapshot.restore_estimates(self._dispatcher, values)
 
     def pack(self, job: Job) -> dict[str, Any]:
         """A job that is movable as plain values, but for its body."""
-        return job_transfer.pack(job, snapshot.job(self._dispatcher, job.number))
+        return job_transfer.pack(job, snapshot.pack_job(self._dispatcher, job.number))
 
     def release(self, job: Job) -> None:
         """Another process has the job: it is none of this one's any more, and nothing is stopped for it."""
@@ -280,7 +280,7 @@
             self._arm(attempt)
         if values["rules"] is not None:
             self._carry_out(
-                snapshot.learn_job(
+                snapshot.restore_job(
                     self._dispatcher, self._loop.now(), job.number, job.cls, job.most, values["rules"], shift
                 )
             )
--- a/pulleyroute/snapshot.py
+++ b/pulleyroute/snapshot.py
@@ -37,20 +37,20 @@
 _ATTEMPT_TIMES = ("heard", "sent", "started")
 
 
-def knowledge(rules: Dispatcher) -> Values:
-    """What it has learnt in general; the workers are told one by one, by `worker`."""
+def pack_estimates(rules: Dispatcher) -> Values:
+    """What it has learnt in general; the workers are told one by one, by `pack_worker`."""
     spans = [[name, give_up, span] for (name, give_up), span in rules.full_time.items()]
     return {**_read(rules, _GENERAL), "full_time": spans}
 
 
-def learn(rules: Dispatcher, values: Values) -> None:
+def restore_estimates(rules: Dispatcher, values: Values) -> None:
     """Take over what another has learnt in general."""
     # Guards an upgrade from a version that kept no such mean: what else it has learnt is taken over still.
     _write(rules, {"busy": rules.busy, **values}, _GENERAL)
     rules.full_time.update({(name, give_up): span for name, give_up, span in values["full_time"]})
 
 
-def worker(known: Worker) -> Values:
+def pack_worker(known: Worker) -> Values:
     """What is known of one worker. Of a cold one's budget it hands on all: what is left here is nothing."""
     values = {"id": known.id.decode(), **_read(known, (*_FACTS, *_TIMES))}
     if known.budget > 0:
@@ -58,7 +58,7 @@
     return values
 
 
-def learn_worker(rules: Dispatcher, values: Values, shift: int) -> None:
+def restore_worker(rules: Dispatcher, values: Values, shift: int) -> None:
     """Take over what another knows of a worker, unless the list here does not name it or it has restarted."""
     known = rules.workers.get(values["id"].encode())
     if known is None:
@@ -71,7 +71,7 @@
                 setattr(known, name, _shifted(values[name], shift))
 
 
-def job(rules: Dispatcher, number: int) -> Values | None:
+def pack_job(rules: Dispatcher, number: int) -> Values | None:
     """A job and its attempts; None if it is not known."""
     held = rules.jobs.get(number)
     if held is None:
@@ -82,7 +82,7 @@
     return {**_read(held, ("deadline", "useful_until", "slots", "memory", "tries")), "attempts": attempts}
 
 
-def learn_job(
+def restore_job(
     rules: Dispatcher, now: int, number: int, cls: api.JobClass, most: int, values: Values, shift: int
 ) -> list[api.Action]:
     """Hold a job from here on as if it had been taken here; what is to be done about it at once."""
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -248,9 +248,9 @@
     assert abs(heirs.workers[b"s-0"].down_until - until) <= 20_000 and new.host.avoided == 1
     assert heirs.workers[b"s-2"].budget == 0.75 and cold.budget == 0.0
     assert heirs.runs == {"read": 4321.0} and heirs.busy == 1.75
-    earlier = {**snapshot.knowledge(rules), "load": 3.5}
+    earlier = {**snapshot.pack_estimates(rules), "load": 3.5}
     del earlier["busy"]  # as a version tells that kept none
-    snapshot.learn(heirs, earlier)
+    snapshot.restore_estimates(heirs, earlier)
     assert heirs.load == 3.5 and heirs.busy == 1.75
     assert b"watch=1&from=5" in new.discovery_peer.accept().message()[0]
 
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -173,9 +173,9 @@
     bench, jobs = played()
     rules = bench.dispatcher
     return {
-        "general": snapshot.knowledge(rules),
-        "workers": [snapshot.worker(worker) for worker in rules.workers.values()],
-        "jobs": [snapshot.job(rules, number) for number in jobs],
+        "general": snapshot.pack_estimates(rules),
+        "workers": [snapshot.pack_worker(worker) for worker in rules.workers.values()],
+        "jobs": [snapshot.pack_job(rules, number) for number in jobs],
         "classes": [snapshot.pack_class(cls) for cls in CLASSES],
     }
 
@@ -200,19 +200,19 @@
 
 def test_the_values_of_the_first_version_end_up_in_their_attributes():
     rules, general, shift = receiver(), json.loads(GENERAL), 7_000
-    snapshot.learn(rules, general)
+    snapshot.restore_estimates(rules, general)
     assert attributes(rules, GENERAL_ATTRIBUTES) == [general[key] for key in GENERAL_ATTRIBUTES]
     assert rules.full_time == {(name, 10 * SECOND): 10 * SECOND for name in ("safe", "keyed", "unsafe")}
     for text in WORKERS:
         values = json.loads(text)
-        snapshot.learn_worker(rules, values, shift)
+        snapshot.restore_worker(rules, values, shift)
         worker = rules.workers[values["id"].encode()]
         assert attributes(worker, WORKER_ATTRIBUTES) == [values[key] for key in WORKER_ATTRIBUTES]
         times = [values[key] and values[key] + shift for key in WORKER_TIME_ATTRIBUTES]
         assert attributes(worker, WORKER_TIME_ATTRIBUTES) == times
     for number, text in enumerate(JOBS, 1):
         values = json.loads(text)
-        snapshot.learn_job(rules, START + 3 * SECOND, number, CLASSES[SAFE], 4, values, shift)
+        snapshot.restore_job(rules, START + 3 * SECOND, number, CLASSES[SAFE], 4, values, shift)
         job = rules.jobs[number]
         assert attributes(job, JOB_ATTRIBUTES) == [values[key] for key in JOB_ATTRIBUTES]
         assert job.deadline == values["deadline"] + shift
@@ -228,11 +228,11 @@
 def test_each_key_has_an_attribute_of_its_own():
     rules = receiver()
     general = {key: float(number) for number, key in enumerate(GENERAL_ATTRIBUTES, 1)}
-    snapshot.learn(rules, {**general, "full_time": []})
+    snapshot.restore_estimates(rules, {**general, "full_time": []})
     assert attributes(rules, GENERAL_ATTRIBUTES) == list(general.values())
     facts = {key: float(number) for number, key in enumerate(WORKER_ATTRIBUTES, 1)}
     times = {key: number for number, key in enumerate(WORKER_TIME_ATTRIBUTES, 101)}
-    snapshot.learn_worker(rules, {"id": "a", "started": 0, **facts, **times}, 0)
+    snapshot.restore_worker(rules, {"id": "a", "started": 0, **facts, **times}, 0)
     worker = rules.workers[b"a"]
     assert attributes(worker, WORKER_ATTRIBUTES) == list(facts.values())
     assert attributes(worker, WORKER_TIME_ATTRIBUTES) == list(times.values())
@@ -246,7 +246,7 @@
         "started": 8,
     }
     values = {**json.loads(JOBS[0]), "attempts": [attempt]}
-    snapshot.learn_job(rules, START, 1, CLASSES[SAFE], 4, values, 0)
+    snapshot.restore_job(rules, START, 1, CLASSES[SAFE], 4, values, 0)
     (known,) = rules.jobs[1].attempts
     assert attributes(known, ATTEMPT_ATTRIBUTES) == [True, False, 5.0]
     assert attributes(known, ATTEMPT_TIME_ATTRIBUTES) == [6, 7, 8]
