--- a/pulleyroute/net/config.py
+++ b/pulleyroute/net/config.py
@@ -10,7 +10,7 @@
 
 from pulleyroute.interface import Settings
 from pulleyroute.net.http import parse_address
-from pulleyroute.settings import SettingsError, Shape, lacking, read_settings, shape
+from pulleyroute.settings import KeyTree, SettingsError, first_missing_key, key_tree, read_settings
 
 SOCKETS = 1024  # where the configuration names no limit
 FEWEST_SOCKETS = 64
@@ -33,7 +33,7 @@
     known: Any  # the list of instances as last held, in discovery's form; None if there is none
     settings: Settings
     management: tuple[str, int] | None  # the admin listener; None for none
-    shape: Shape  # the keys that the file has
+    shape: KeyTree  # the keys that the file has
 
 
 def load_config(environ: Mapping[str, str], old: Config | None = None) -> Config:
@@ -56,9 +56,9 @@
     sources = [environ.get("PROXY_DISCOVERY"), data.get("discovery")]
     if old is not None:
         sources.reverse()
-    keys = shape({key: value for key, value in data.items() if key != "known"})
+    keys = key_tree({key: value for key, value in data.items() if key != "known"})
     try:
-        if old is not None and (missing := lacking(old.shape, data)) is not None:
+        if old is not None and (missing := first_missing_key(old.shape, data)) is not None:
             # Guards against a file that was cut down by mistake: defaults would be put in that nobody wrote.
             raise SettingsError(f"{missing} is missing, which the configuration in force has")
         settings, _ = read_settings(data.get("settings"))
--- a/pulleyroute/settings.py
+++ b/pulleyroute/settings.py
@@ -31,30 +31,30 @@
 LARGEST = 2.0**62  # of any number: times are whole microseconds in 64 bits
 
 # The keys of an object, with those of the objects in it; of a list of objects, what they all have.
-Shape = dict[str, Any] | list[Any] | None
+KeyTree = dict[str, Any] | list[Any] | None
 
 
-def shape(value: Any) -> Shape:
+def key_tree(value: Any) -> KeyTree:
     """What keys a parsed JSON value has."""
     if isinstance(value, dict):
-        return {key: shape(item) for key, item in value.items()}
+        return {key: key_tree(item) for key, item in value.items()}
     if isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
         common = set(value[0]).intersection(*value)
-        return [{key: shape(value[0][key]) for key in sorted(common)}]
+        return [{key: key_tree(value[0][key]) for key in sorted(common)}]
     return None
 
 
-def lacking(want: Shape, value: Any, path: str = "") -> str | None:
+def first_missing_key(want: KeyTree, value: Any, path: str = "") -> str | None:
     """The first key of the shape that the value lacks, by its path; None if it has them all."""
     if isinstance(want, list):
         items = value if isinstance(value, list) else []
-        found = (lacking(want[0], item, f"{path}[{i}]") for i, item in enumerate(items))
+        found = (first_missing_key(want[0], item, f"{path}[{i}]") for i, item in enumerate(items))
         return next((key for key in found if key is not None), None)
     for key, inner in (want or {}).items():
         name = f"{path}.{key}" if path else key
         if not isinstance(value, dict) or key not in value:
             return name
-        missing = lacking(inner, value[key], name)
+        missing = first_missing_key(inner, value[key], name)
         if missing is not None:
             return missing
     return None
