--- a/pulleyroute/snapshot.py
+++ b/pulleyroute/snapshot.py
@@ -1,8 +1,8 @@
-"""What the decisions know, taken out of one `rules.Dispatcher` and put into another. No decisions, no I/O,
-no clock.
+"""The state of a `rules.Dispatcher` as plain JSON values, for the hand-over to another process.
 
-For a process that takes over from another: what was learnt of the workers, and jobs with their attempts. What
-is taken out is plain JSON values. Times are of the giver's clock; `shift` turns them into the taker's.
+Two kinds of state are transferred: what the dispatcher has learnt (estimates, and health and load of each
+worker), and single jobs with their attempts. Times are of the sending process's clock; `shift`, in
+microseconds, converts them to the receiver's. This module makes no decisions, does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -14,138 +14,177 @@
 from pulleyroute.rules import Attempt, Dispatcher, Job, Worker
 
 Values = dict[str, Any]
-
-_SAME_START = 10_000  # two processes tell a worker's start from Unix time: they may differ by so much
-_GENERAL = ("busy", "gap", "load", "probe_credit", "running", "runs", "tight", "waits_modelled", "waits_seen")
-_FACTS = (
-    "blame",
-    "budget",
-    "deep",
-    "free",
-    "holds",
-    "longest",
-    "memory",
-    "most",
-    "mute",
-    "others",
-    "prompt",
-    "shut",
-    "wait",
-)
-_TIMES = ("asked", "blamed_at", "budget_at", "down_until", "heard", "report_at", "started", "wait_at")
-_ATTEMPT = ("over", "ran", "modelled")
-_ATTEMPT_TIMES = ("heard", "sent", "started")
+Keys = dict[str, str]  # from an attribute to its key in the transferred JSON
+
+# Microseconds. Each process converts a worker's start from Unix time to its own clock, so the results differ.
+_START_TOLERANCE = 10_000
+
+# Attribute -> key. Processes of other versions read the keys: their names, set and order must not change.
+_ESTIMATE_KEYS: Keys = {
+    "busy": "busy",
+    "gap": "gap",
+    "load": "load",
+    "probe_credit": "probe_credit",
+    "running": "running",
+    "runs": "runs",
+    "tight": "tight",
+    "waits_modelled": "waits_modelled",
+    "waits_seen": "waits_seen",
+}
+_WORKER_KEYS: Keys = {
+    "blame": "blame",
+    "budget": "budget",
+    "deep": "deep",
+    "free": "free",
+    "holds": "holds",
+    "longest": "longest",
+    "memory": "memory",
+    "most": "most",
+    "mute": "mute",
+    "others": "others",
+    "prompt": "prompt",
+    "shut": "shut",
+    "wait": "wait",
+}
+_WORKER_TIME_KEYS: Keys = {
+    "asked": "asked",
+    "blamed_at": "blamed_at",
+    "budget_at": "budget_at",
+    "down_until": "down_until",
+    "heard": "heard",
+    "report_at": "report_at",
+    "started": "started",
+    "wait_at": "wait_at",
+}
+_JOB_KEYS: Keys = {
+    "deadline": "deadline",
+    "useful_until": "useful_until",
+    "slots": "slots",
+    "memory": "memory",
+    "tries": "tries",
+}
+_ATTEMPT_KEYS: Keys = {"over": "over", "ran": "ran", "modelled": "modelled"}
+_ATTEMPT_TIME_KEYS: Keys = {"heard": "heard", "sent": "sent", "started": "started"}
 
 
 def pack_estimates(rules: Dispatcher) -> Values:
-    """What it has learnt in general; the workers are told one by one, by `pack_worker`."""
-    spans = [[name, give_up, span] for (name, give_up), span in rules.full_time.items()]
-    return {**_read(rules, _GENERAL), "full_time": spans}
+    """Return the dispatcher-wide estimates; `pack_worker` returns those of one worker."""
+    first_try_times = [[name, give_up, span] for (name, give_up), span in rules.full_time.items()]
+    return {**_read(rules, _ESTIMATE_KEYS), "full_time": first_try_times}
 
 
 def restore_estimates(rules: Dispatcher, values: Values) -> None:
-    """Take over what another has learnt in general."""
-    # Guards an upgrade from a version that kept no such mean: what else it has learnt is taken over still.
-    _write(rules, {"busy": rules.busy, **values}, _GENERAL)
+    """Replace the dispatcher-wide estimates by those that another process packed."""
+    # Versions that kept no mean of busy slots send no "busy": the receiver's own value stays, and an upgrade
+    # from such a version still transfers all other estimates.
+    _write(rules, {"busy": rules.busy, **values}, _ESTIMATE_KEYS)
     rules.full_time.update({(name, give_up): span for name, give_up, span in values["full_time"]})
 
 
-def pack_worker(known: Worker) -> Values:
-    """What is known of one worker. Of a cold one's budget it hands on all: what is left here is nothing."""
-    values = {"id": known.id.decode(), **_read(known, (*_FACTS, *_TIMES))}
-    if known.budget > 0:
-        known.budget = 0.0
+def pack_worker(worker: Worker) -> Values:
+    """Return what is known of one worker.
+
+    The rest of a cold worker's budget is transferred whole, and set to 0 here, so that the two processes
+    together don't spend it twice.
+    """
+    values = {"id": worker.id.decode(), **_read(worker, {**_WORKER_KEYS, **_WORKER_TIME_KEYS})}
+    if worker.budget > 0:
+        worker.budget = 0.0
     return values
 
 
 def restore_worker(rules: Dispatcher, values: Values, shift: int) -> None:
-    """Take over what another knows of a worker, unless the list here does not name it or it has restarted."""
-    known = rules.workers.get(values["id"].encode())
-    if known is None:
+    """Take over what another process knows of a worker.
+
+    The values are ignored if the worker is not in this process's list, or has restarted since.
+    """
+    worker = rules.workers.get(values["id"].encode())
+    if worker is None:
         return
     started = _shifted(values["started"], shift)
-    if abs(known.started - started) <= _SAME_START:
-        _write(known, values, _FACTS)
-        for name in _TIMES:
-            if name != "started":
-                setattr(known, name, _shifted(values[name], shift))
+    if abs(worker.started - started) <= _START_TOLERANCE:
+        _write(worker, values, _WORKER_KEYS)
+        for attribute, key in _WORKER_TIME_KEYS.items():
+            if key != "started":
+                setattr(worker, attribute, _shifted(values[key], shift))
 
 
 def pack_job(rules: Dispatcher, number: int) -> Values | None:
-    """A job and its attempts; None if it is not known."""
-    held = rules.jobs.get(number)
-    if held is None:
+    """Return a job and its attempts; None if the job is not known."""
+    job = rules.jobs.get(number)
+    if job is None:
         return None
     attempts = [
-        {"worker": a.worker.id.decode(), **_read(a, (*_ATTEMPT, *_ATTEMPT_TIMES))} for a in held.attempts
+        {"worker": a.worker.id.decode(), **_read(a, {**_ATTEMPT_KEYS, **_ATTEMPT_TIME_KEYS})}
+        for a in job.attempts
     ]
-    return {**_read(held, ("deadline", "useful_until", "slots", "memory", "tries")), "attempts": attempts}
+    return {**_read(job, _JOB_KEYS), "attempts": attempts}
 
 
 def restore_job(
-    rules: Dispatcher, now: int, number: int, cls: api.JobClass, most: int, values: Values, shift: int
+    rules: Dispatcher, now: int, number: int, cls: api.JobClass, max_attempts: int, values: Values, shift: int
 ) -> list[api.Action]:
-    """Hold a job from here on as if it had been taken here; what is to be done about it at once."""
+    """Add a packed job as if this dispatcher had taken it itself; return the actions to carry out at once."""
     rules.now, rules.todo = now, []
     deadline = values["deadline"] + shift
     event = api.JobArrived(number, 0, deadline - now, values["slots"], values["memory"])
-    held = Job(event, replace(rules.settings, classes=[cls], max_attempts=most), now)
-    held.useful_until, held.tries = values["useful_until"] + shift, values["tries"]
-    rules.jobs[number] = held
+    job = Job(event, replace(rules.settings, classes=[cls], max_attempts=max_attempts), now)
+    job.useful_until, job.tries = values["useful_until"] + shift, values["tries"]
+    rules.jobs[number] = job
     kind = cls.name, cls.give_up
     rules.full_time[kind] = max(rules.full_time.get(kind, 0), deadline - now)
-    for index, told in enumerate(values["attempts"]):
-        name = told["worker"].encode()
-        known = rules.workers.get(name)
-        if known is None:  # it has left the list; what it still says counts
-            known = rules.workers[name] = Worker(api.Entry(name, api.WorkerState.GONE))
-        attempt = Attempt(held, index, known, now)
-        _write(attempt, told, _ATTEMPT)
-        for field in _ATTEMPT_TIMES:
-            setattr(attempt, field, _shifted(told[field], shift))
-        held.attempts.append(attempt)
+    for index, packed in enumerate(values["attempts"]):
+        name = packed["worker"].encode()
+        worker = rules.workers.get(name)
+        if worker is None:  # no longer listed; its events about the attempt are still accepted
+            worker = rules.workers[name] = Worker(api.Entry(name, api.WorkerState.GONE))
+        attempt = Attempt(job, index, worker, now)
+        _write(attempt, packed, _ATTEMPT_KEYS)
+        for attribute, key in _ATTEMPT_TIME_KEYS.items():
+            setattr(attempt, attribute, _shifted(packed[key], shift))
+        job.attempts.append(attempt)
         if not attempt.over:
-            _hold(rules, held, attempt)
+            _add_open_attempt(rules, job, attempt)
     return rules.todo
 
 
-def _hold(rules: Dispatcher, held: Job, attempt: Attempt) -> None:
-    """An attempt that is out takes its slots from here on."""
-    known, key = attempt.worker, (held.id, attempt.index)
-    held.out += 1
-    known.out[key] = attempt
-    rules.take(known, held.slots)
-    if attempt.sent <= known.report_at - min(rules.gap, rules.running) / 2:
-        # The reading that came over has it already.
-        known.net -= known.deltas.pop()[1]
+def _add_open_attempt(rules: Dispatcher, job: Job, attempt: Attempt) -> None:
+    """Count the slots of an attempt that has not ended."""
+    worker, key = attempt.worker, (job.id, attempt.index)
+    job.out += 1
+    worker.out[key] = attempt
+    rules.take(worker, job.slots)
+    if attempt.sent <= worker.report_at - min(rules.gap, rules.running) / 2:
+        # The transferred load report already includes this attempt.
+        worker.net -= worker.deltas.pop()[1]
     if attempt.started:
-        rules.held += held.slots
+        rules.held += job.slots
     else:
-        known.unstarted[key] = attempt
+        worker.unstarted[key] = attempt
         rules.expect_start(attempt)
 
 
 def pack_class(cls: api.JobClass) -> Values:
-    """A class as plain values."""
+    """Return a job class as plain values, under the names of its fields."""
     return {**asdict(cls), "effect": cls.effect.value, "scope": cls.scope.value}
 
 
 def unpack_class(values: Values) -> api.JobClass:
-    """The class of plain values."""
+    """Return the job class that `pack_class` packed."""
     return api.JobClass(
         **{**values, "effect": api.Effect(values["effect"]), "scope": api.Scope(values["scope"])}
     )
 
 
-def _read(source: object, names: tuple[str, ...]) -> Values:
-    return {name: getattr(source, name) for name in names}
+def _read(source: object, keys: Keys) -> Values:
+    return {key: getattr(source, attribute) for attribute, key in keys.items()}
 
 
-def _write(target: object, values: Values, names: tuple[str, ...]) -> None:
-    for name in names:
-        setattr(target, name, values[name])
+def _write(target: object, values: Values, keys: Keys) -> None:
+    for attribute, key in keys.items():
+        setattr(target, attribute, values[key])
 
 
 def _shifted(at: int, shift: int) -> int:
-    """0 means never, and stays so."""
+    """Convert a time to the receiver's clock; 0 stands for never and stays 0."""
     return at + shift if at else 0
