--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -14,7 +14,7 @@
 from benchmarks.capacity.cost import microseconds, traced
 from benchmarks.capacity.slope import Cost, Slope
 from pulleyroute import interface as api
-from pulleyroute.rules import TICK, Dispatcher
+from pulleyroute.rules import TICK_TOKEN, Dispatcher
 
 START = 1_000_000_000  # us
 
@@ -69,7 +69,7 @@
     whole = api.WorkerList(2, api.ListKind.FULL, listed)
     taken = microseconds(lambda: rules.handle(rules.now + 1, whole))
     change = microseconds(_changing(rules, listed[0]))
-    tick = microseconds(lambda: rules.handle(rules.now + rules.tick, api.TimerFired(TICK)))
+    tick = microseconds(lambda: rules.handle(rules.now + rules.tick_interval, api.TimerFired(TICK_TOKEN)))
     pick, pick_kind = (microseconds(_picking(rules, each)) for each in (0, 1))
     return {
         "whole": taken,
--- a/benchmarks/capacity/scale.py
+++ b/benchmarks/capacity/scale.py
@@ -37,7 +37,7 @@
 KEEPALIVES = 0.6  # a second: a lease of 5 s, extended three times within it
 RECORDS_A_RESTART = 6  # changes of a member's records: word, permit, roll, word, word, permit
 HEALTH = 0.5  # counts of jobs that a member writes a second while a release is in hand: `agent.HEALTH_TIME`
-NEAR_MOST = 24  # instances that a dispatcher keeps to: three times `rules.NEAR`
+NEAR_MOST = 24  # instances that a dispatcher keeps to: three times `rules.MIN_SUBSET_SIZE`
 
 # The chosen design.
 REPLICAS = 8  # dispatchers that keep to a destination
--- a/pulleyroute/net/host.py
+++ b/pulleyroute/net/host.py
@@ -130,7 +130,7 @@
             logger.bind(event="decisions.failed").exception(
                 "the decision module failed on {}", type(event).__name__
             )
-            actions = self._dispatcher.todo
+            actions = self._dispatcher.actions
         self._carry_out(actions)
 
     def _carry_out(self, actions: list[api.Action]) -> None:
@@ -144,7 +144,7 @@
     def avoided(self) -> int:
         """How many listed instances the decisions push nothing to for now."""
         rules, now = self._dispatcher, self._loop.now()
-        return sum(1 for worker in rules.ready if rules.avoids(worker, now))
+        return sum(1 for worker in rules.ready if rules.is_ejected(worker, now))
 
     # Requests
 
@@ -435,7 +435,7 @@
     def _tell_push(self, job: Job, attempt: Attempt) -> None:
         """What a push rested on, for the log. Times are microseconds, -1 where there is none."""
         worker = self._dispatcher.workers[attempt.instance]
-        aged = worker.free is not None and worker.report_at
+        aged = worker.free_slots is not None and worker.report_at
         log.event(
             "push",
             txn=attempt.txn,
@@ -445,9 +445,9 @@
             waited=self._now - job.taken,
             zone=self._settings.zone,
             to=worker.zone,
-            free="-" if worker.free is None else round(worker.free, 2),
+            free="-" if worker.free_slots is None else round(worker.free_slots, 2),
             age=self._now - worker.report_at if aged else -1,
-            near=int(worker in self._dispatcher.near),
+            near=int(worker in self._dispatcher.subset),
             up=self._now - worker.started if worker.started else -1,
         )
 
--- a/pulleyroute/rules.py
+++ b/pulleyroute/rules.py
@@ -52,10 +52,10 @@
 
 # Of a fleet of more than three times as many a dispatcher keeps to so many workers: the fewer they are, the
 # more of what they hold are its own pushes, but a job must still find one free.
-NEAR = 8
+MIN_SUBSET_SIZE = 8
 
 PROVEN_NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
-TICK = 0  # the token of the standing timer
+TICK_TOKEN = 0  # the token of the standing timer
 
 
 def rank(worker: api.WorkerId, dispatcher: int) -> float:
@@ -121,8 +121,8 @@
 
     _LISTED = ("cell", "id", "kind", "rank", "ready", "started", "zone")
     _OWN_LOAD = ("asked", "deltas", "held", "net", "out", "unstarted")
-    _REPORTED = ("deep", "free", "memory", "most", "others", "report_at", "signature")
-    _HEALTH = ("blame", "blamed_at", "down_until", "heard", "holds", "mute", "prompt", "shut")
+    _REPORTED = ("deep", "free_slots", "memory", "capacity", "others", "report_at", "last_report")
+    _HEALTH = ("error_score", "blamed_at", "ejected_until", "heard", "ejections", "mute", "prompt", "shut")
     _QUEUE = ("longest", "wait", "wait_at")
     _COLD_START = ("budget", "budget_at")
     __slots__ = (*_LISTED, *_OWN_LOAD, *_REPORTED, *_HEALTH, *_QUEUE, *_COLD_START)
@@ -146,19 +146,19 @@
     def reset(self, entry: api.Entry) -> None:
         """A process that has just started has no past."""
         self.started = entry.started
-        self.free: float | None = None
+        self.free_slots: float | None = None
         self.memory: float | None = None
-        self.most = 0.0  # slots it is known to have
+        self.capacity = 0.0  # slots it is known to have
         self.deep = False  # its last reading was full and told no queue
         self.report_at = 0
         self.others = 0.0  # slots that others hold there, on the average of its readings
-        self.signature: api.LoadReport | None = None
-        self.blame = 0.0
-        self.blamed_at = self.down_until = 0
+        self.last_report: api.LoadReport | None = None
+        self.error_score = 0.0
+        self.blamed_at = self.ejected_until = 0
         self.mute = 0  # jobs in a row that were moved away as they did not start
         self.prompt: int | None = None  # the shortest time in which a job has started there
         self.shut = 0  # jobs in a row that it turned away though it showed room
-        self.holds = 0  # times in a row that it was found down
+        self.ejections = 0  # times in a row that it was found down
         self.heard = self.wait = 0  # the wait of a job that started, or was turned away, at `wait_at`
         self.wait_at = self.longest = 0  # the longest is of all waits seen
         self.budget = -1.0  # pushes that a cold worker may get now; below 0: not yet opened
@@ -178,16 +178,16 @@
         self.ready: list[Worker] = []
         self.tight = 0.0  # the share of jobs lately that found no room at home
         self.held = self.load = 0.0  # slots that own started attempts hold, now and on average
-        self.busy = 1.0  # slots in use at a worker, on the average of readings
-        self.width = NEAR  # how many workers it keeps to
+        self.mean_busy_slots = 1.0  # slots in use at a worker, on the average of readings
+        self.width = MIN_SUBSET_SIZE  # how many workers it keeps to
         self.moved = False  # whether one was found down or back since those near were chosen
-        self.near: list[Worker] = []  # those of them that it keeps to
+        self.subset: list[Worker] = []  # those of them that it keeps to
         self.sleeping: dict[int, Job] = {}
         self.unsure: dict[int, Attempt] = {}  # by timer: attempts that should have started by then
-        self.token = TICK
-        self.todo: list[api.Action] = []
+        self.token = TICK_TOKEN
+        self.actions: list[api.Action] = []
         self.running = sum(c.aim for c in settings.classes) / len(settings.classes)  # mean running time seen
-        self.runs: dict[str, float] = {}  # the same by class
+        self.class_run_times: dict[str, float] = {}  # the same by class
         self.work = self.running  # the same on warm workers
         self.hinted = 1.0  # how long jobs run for each unit that was guessed
         # What waits turned out to be, and were modelled as: others' jobs, not told of, stand in line too.
@@ -216,14 +216,14 @@
         self.patience = min(c.give_up for c in settings.classes)
         self.asks = settings.probes and settings.report_source is not api.ReportSource.NONE
         self.abroad = 1 / (1 + PULL * 100 * settings.price_cross_zone)
-        self.tick = max(1, (settings.progress or self.patience // 5) // 2)
+        self.tick_interval = max(1, (settings.progress or self.patience // 5) // 2)
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         """Take one event at time `now` and return what to do."""
         self.now = now
-        self.todo = []
+        self.actions = []
         self.handlers[type(event)](event)  # type: ignore[operator]
-        return self.todo
+        return self.actions
 
     # Jobs
 
@@ -245,11 +245,11 @@
         # A later try of a client comes with less time than a first one: so much of its aim is gone already.
         born = job.deadline - self.full_time[job.cls.name, job.cls.give_up]
         # Guards heavy jobs against a wait that a guess alone allows: it is rough, and some workers are slow.
-        spare = min(self.expected(job), TYPICAL * self.runs.get(job.cls.name, self.running))
+        spare = min(self.expected(job), TYPICAL * self.class_run_times.get(job.cls.name, self.running))
         useful = born + int((job.cls.aim + max(0.0, job.cls.stretch - 1) * spare) * self.rank(job.cls))
         job.useful_until = min(job.deadline, useful)
         if self.abroad < 1:
-            home = any(w.zone == self.settings.zone and self.room(w, job) > ROOM for w in self.near)
+            home = any(w.zone == self.settings.zone and self.room(w, job) > ROOM for w in self.subset)
             self.tight += BLEND * ((not home) - self.tight)
         worker = self.draw(job)
         if worker is None:
@@ -263,7 +263,7 @@
         worker.unstarted[key] = attempt
         self.take(worker, job.slots)
         worker.budget -= self.size(job)
-        self.todo.append(api.Push(job.id, worker.id, job.deadline))
+        self.actions.append(api.Push(job.id, worker.id, job.deadline))
         self.expect_start(attempt)
 
     def expect_start(self, attempt: Attempt) -> None:
@@ -279,7 +279,7 @@
             trips = self.running * BLEND if trip is None else START_TRIPS * trip
             self.token += 1
             self.unsure[self.token] = attempt
-            self.todo.append(api.SetTimer(int(START_OF_AIM * job.cls.aim + trips), self.token))
+            self.actions.append(api.SetTimer(int(START_OF_AIM * job.cls.aim + trips), self.token))
 
     def reconsider(self, attempt: Attempt) -> None:
         """Guards a short job against a queue that no report showed, and against a silent worker."""
@@ -288,25 +288,25 @@
             return
         tried = [a.worker for a in job.attempts]
         if not any(
-            w.free is not None and self.room(w, job) > ROOM and self.weight(w, job) > 0
+            w.free_slots is not None and self.room(w, job) > ROOM and self.weight(w, job) > 0
             for w in self.eligible(job)
             if w not in tried
         ):
             self.expect_start(attempt)  # its place in the queue is as good as any
             return
-        self.todo.append(api.Cancel(job.id, attempt.index))
+        self.actions.append(api.Cancel(job.id, attempt.index))
         # Guards against the next report, which may show room again: what does not start is not free.
         self.waited(worker, self.now - attempt.sent)
-        worker.free = min(0.0, worker.free or 0.0)
+        worker.free_slots = min(0.0, worker.free_slots or 0.0)
         worker.mute += 1
         if worker.mute > 1:
-            worker.down_until = self.now + min(self.patience, self.tick * (worker.mute - 1))
+            worker.ejected_until = self.now + min(self.patience, self.tick_interval * (worker.mute - 1))
 
     def expected(self, job: Job) -> float:
         """How long the job will run on a warm worker: at least, where nobody has guessed it."""
         if job.hint is not None:
             return job.hint * self.hinted
-        return TYPICAL * self.runs.get(job.cls.name, self.running)
+        return TYPICAL * self.class_run_times.get(job.cls.name, self.running)
 
     def size(self, job: Job) -> float:
         """The job's work in mean jobs."""
@@ -314,7 +314,11 @@
 
     def density(self, cls: api.JobClass) -> float:
         """Worth for each microsecond of running."""
-        return cls.worth if self.settings.by_work else cls.worth / self.runs.get(cls.name, self.running)
+        return (
+            cls.worth
+            if self.settings.by_work
+            else cls.worth / self.class_run_times.get(cls.name, self.running)
+        )
 
     def rank(self, cls: api.JobClass) -> float:
         """Guards the dear jobs in an overload: a class worth less for its work gives up its place sooner."""
@@ -338,10 +342,10 @@
         Guards the room at home where it is short: a crossing costs the same whatever crosses, and one long
         job leaves room there for several short ones, which would cross instead.
         """
-        shortest = min(self.runs.values(), default=0.0)
+        shortest = min(self.class_run_times.values(), default=0.0)
         if not shortest:
             return 1.0
-        longer = self.runs.get(cls.name, shortest) / shortest - 1
+        longer = self.class_run_times.get(cls.name, shortest) / shortest - 1
         return max(0.0, 1 - self.tight * longer)
 
     def eligible(self, job: Job) -> list[Worker]:
@@ -349,7 +353,7 @@
         cls, bound = job.cls, self.bound(job)
         if bound is not None and self.now >= bound.sent + cls.repeat_window:
             return []
-        among = self.near if bound is None and cls.kind < 0 else self.ready
+        among = self.subset if bound is None and cls.kind < 0 else self.ready
         if cls.kind >= 0:
             among = [w for w in among if w.kind == cls.kind]
         if bound is not None and cls.scope is Scope.ZONE:
@@ -364,7 +368,7 @@
         Guards live workers against jobs lost in silence, which never start: a slot that was free two readings
         after the push proves that nothing queues before it.
         """
-        if worker.free is None or worker.free < 1 or not self.gap:
+        if worker.free_slots is None or worker.free_slots < 1 or not self.gap:
             return list(worker.unstarted.values())
         seen = worker.report_at - 2 * self.gap
         return [attempt for attempt in worker.unstarted.values() if attempt.sent > seen]
@@ -372,12 +376,12 @@
     def room(self, worker: Worker, job: Job) -> float:
         """Its free slots for the job, as far as can be told; negative where jobs wait."""
         now = self.now
-        free = worker.free
+        free = worker.free_slots
         if free is None:
             free = 1.0 - worker.net
         else:
             # A reading may be out of date either way, but what is out there itself surely takes room.
-            room = worker.most - worker.held
+            room = worker.capacity - worker.held
             free = min(free - worker.net, room)
             # Guards against late readings: as one ages, what others usually hold there tells more. Slots
             # change hands as jobs end, and a reading is half the time between two old when it comes.
@@ -395,23 +399,23 @@
             free = min(free, 0.0)
         return free
 
-    def avoids(self, worker: Worker, now: int) -> bool:
+    def is_ejected(self, worker: Worker, now: int) -> bool:
         """Whether nothing is pushed to it for now."""
-        return worker.down_until > now or (worker.holds > 0 and bool(worker.out))
+        return worker.ejected_until > now or (worker.ejections > 0 and bool(worker.out))
 
     def weight(self, worker: Worker, job: Job) -> float:
         """Free slots net of own pushes since, and the exceptions."""
         now = self.now
-        if self.avoids(worker, now):
+        if self.is_ejected(worker, now):
             # Guards against a dead worker's last reading: it shows more free slots than the full ones alive.
             return 0.0
         free = self.room(worker, job)
         if free > FLOOR:
-            weight = free if worker.free is not None else FLOOR  # until it reports
+            weight = free if worker.free_slots is not None else FLOOR  # until it reports
         else:
             # Guards against jams: a job that would wait past its use there keeps others from being in time.
             ahead = 1.0 - free
-            wait = ahead * self.running / max(worker.most, 1.0)
+            wait = ahead * self.running / max(worker.capacity, 1.0)
             wait = max(wait, worker.wait - (now - worker.wait_at) * DRAIN)
             waiting = self.waiting(worker)
             if waiting:
@@ -423,8 +427,8 @@
             job.waits[worker.id] = wait
         if worker.zone != self.settings.zone:
             weight *= self.abroad ** self.homing(job.cls)
-        if worker.blame:
-            blame = worker.blame * 0.5 ** ((now - worker.blamed_at) / self.patience)
+        if worker.error_score:
+            blame = worker.error_score * 0.5 ** ((now - worker.blamed_at) / self.patience)
             weight *= ERROR_FACTOR**blame
         if self.cold(worker):
             share = self.present(now - worker.started)
@@ -443,24 +447,24 @@
     def affordable(self, worker: Worker, share: float, size: float) -> bool:
         """Whether this dispatcher's part of a cold worker's budget has room for so many mean jobs."""
         s = self.settings
-        whole = s.tip_multiple * share * max(worker.most, 1.0) * s.tip_window / self.work  # jobs
+        whole = s.tip_multiple * share * max(worker.capacity, 1.0) * s.tip_window / self.work  # jobs
         # Guards a cold fleet against idling: a slot free by a fresh reading proves that all dispatchers
         # together send less than the worker does, so that neither chance nor crowds need room kept for them.
-        roomy = (worker.free or 0.0) >= 1 and self.now - worker.report_at < s.tip_window / 2
+        roomy = (worker.free_slots or 0.0) >= 1 and self.now - worker.report_at < s.tip_window / 2
         # Of all dispatchers those that keep to it, and as many again, as they are not spread evenly.
-        sharers = s.dispatchers * min(1.0, (2 - roomy) * max(1, len(self.near)) / len(self.ready))
+        sharers = s.dispatchers * min(1.0, (2 - roomy) * max(1, len(self.subset)) / len(self.ready))
         planned = COLD_SHARE_USED * whole
         if roomy and self.now - worker.started > 2 * s.tip_window:
             # Guards against idling where a worker warms sooner than the settings promise: one that is sent
             # as much as it surely does, and that still shows free slots, does more.
-            planned *= 1 + min(1.0, (worker.free or 0.0) / worker.most) / 2
-        if sharers > NEAR and not roomy:
+            planned *= 1 + min(1.0, (worker.free_slots or 0.0) / worker.capacity) / 2
+        if sharers > MIN_SUBSET_SIZE and not roomy:
             # Guards against chance: many that act alone make a random stream; four deviations fit.
             planned = min(planned, ((max(0.0, whole - 1) + 4) ** 0.5 - 2) ** 2)
         per_us = planned / sharers / s.tip_window
-        if self.near is not self.ready:
+        if self.subset is not self.ready:
             # Guards busy dispatchers against want beside tokens that lie with idle ones.
-            mean = max(FLOOR, self.busy * len(self.ready) / s.dispatchers)
+            mean = max(FLOOR, self.mean_busy_slots * len(self.ready) / s.dispatchers)
             per_us *= PARTS_USED * min(MOST_PART, max(LEAST_PART, self.load / mean))
         if worker.budget < 0 and not worker.budget_at:
             worker.budget = self.rng.random()
@@ -500,14 +504,14 @@
             return
         self.token += 1
         self.sleeping[self.token] = job
-        self.todo.append(api.SetTimer(wait, self.token))
+        self.actions.append(api.SetTimer(wait, self.token))
 
     def end(self, job: Job) -> None:
         """The final answer: a refusal if nothing ran, else a failure."""
         ran = any(a.ran for a in job.attempts)
         # Guards against a surge that returns at once: the jam it met will not have passed.
         advice = min(job.cls.aim, self.settings.max_retry_after)
-        self.todo.append(api.Fail(job.id) if ran else api.Refuse(job.id, advice))
+        self.actions.append(api.Fail(job.id) if ran else api.Refuse(job.id, advice))
         self.close(job)
 
     def close(self, job: Job) -> None:
@@ -519,7 +523,7 @@
         job = self.jobs.get(event.job)
         if job is not None:
             if self.settings.cancels:  # guards the room of others: nobody waits for it any more
-                self.todo += [
+                self.actions += [
                     api.Cancel(job.id, a.index)
                     for a in job.attempts
                     if not a.over and not (a.started and job.cls.effect is Effect.UNSAFE)
@@ -538,10 +542,10 @@
     def alive(self, worker: Worker) -> None:
         """Word from a worker clears the doubt that it is down."""
         worker.heard = self.now
-        self.moved = self.moved or worker.holds > 1
-        worker.holds = 0
+        self.moved = self.moved or worker.ejections > 1
+        worker.ejections = 0
         if not worker.shut and not worker.mute:
-            worker.down_until = 0
+            worker.ejected_until = 0
 
     def on_started(self, event: api.AttemptStarted) -> None:
         attempt = self.find(event.job, event.attempt)
@@ -602,7 +606,7 @@
         """What an outcome says of its worker."""
         if outcome is Outcome.OK:
             self.alive(worker)
-            worker.blame *= 1 - FORGIVE
+            worker.error_score *= 1 - FORGIVE
             if attempt.started:
                 took = self.now - attempt.started
                 self.running += BLEND * (took - self.running)
@@ -610,15 +614,15 @@
                     self.work += BLEND * (took - self.work)
                     if attempt.job.hint is not None:
                         self.hinted += BLEND * (min(10.0, took / attempt.job.hint) - self.hinted)
-                run = self.runs.get(attempt.job.cls.name, self.running)
-                self.runs[attempt.job.cls.name] = run + BLEND * (took - run)
+                run = self.class_run_times.get(attempt.job.cls.name, self.running)
+                self.class_run_times[attempt.job.cls.name] = run + BLEND * (took - run)
         elif outcome is Outcome.FULL:
             self.alive(worker)
-            if worker.free is not None and worker.free - worker.net + attempt.job.slots >= 1:
+            if worker.free_slots is not None and worker.free_slots - worker.net + attempt.job.slots >= 1:
                 # Guards against workers that drain and are not yet listed so: room shown, nothing taken.
                 worker.shut += 1
-                worker.down_until = self.now + min(self.patience, self.tick * 2**worker.shut)
-            worker.free = 0.0
+                worker.ejected_until = self.now + min(self.patience, self.tick_interval * 2**worker.shut)
+            worker.free_slots = 0.0
             worker.deep = True
             worker.report_at = self.now
             # A queue that overflows is as long as any seen there, and at least a job long.
@@ -627,18 +631,18 @@
             self.alive(worker)
             # An error on a job that has erred elsewhere is rather the job's.
             if sum(1 for a in attempt.job.attempts if a.over and a.ran) < 2:
-                decayed = worker.blame * 0.5 ** ((self.now - worker.blamed_at) / self.patience)
-                worker.blame = decayed + 1
+                decayed = worker.error_score * 0.5 ** ((self.now - worker.blamed_at) / self.patience)
+                worker.error_score = decayed + 1
                 worker.blamed_at = self.now
         elif outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
-            self.doubt(worker)
+            self.eject(worker)
 
-    def doubt(self, worker: Worker) -> None:
+    def eject(self, worker: Worker) -> None:
         """The worker seems down: hold back from it, longer each time, until word comes from it."""
-        hold = min(self.patience, self.tick * 2**worker.holds)
-        worker.holds += 1
+        hold = min(self.patience, self.tick_interval * 2**worker.ejections)
+        worker.ejections += 1
         self.moved = True
-        worker.down_until = self.now + int(hold * (1 + self.rng.random()))
+        worker.ejected_until = self.now + int(hold * (1 + self.rng.random()))
 
     # Reports and probes
 
@@ -647,35 +651,35 @@
         if free is None:
             return
         if not 0 <= free < 1e9:  # NaN and negative values leave the worker at the floor
-            worker.free = None
+            worker.free_slots = None
             return
-        if worker.signature is not None:
-            if report == worker.signature:
+        if worker.last_report is not None:
+            if report == worker.last_report:
                 return  # the same reading again: it is as old as when it was first seen
             gap = self.now - worker.report_at
             pace = BLEND if gap < self.gap else BLEND / 10
             self.gap = gap if not self.gap else self.gap + pace * (gap - self.gap)
-        worker.signature = report
+        worker.last_report = report
         worker.report_at = self.now
         queued = report.queued
         if free < 1:  # jobs waiting stand before the next one
             if queued is None and report.in_hand is not None:
-                queued = report.in_hand - worker.most
+                queued = report.in_hand - worker.capacity
             free -= queued if queued is not None and 0 <= queued < 1e9 else 0
         worker.deep = free < 1 and queued is None
-        worker.free = free
+        worker.free_slots = free
         memory = report.free_memory
         worker.memory = memory if memory is not None and 0 <= memory < 1e9 else None
         own = sum(1 for attempt in worker.out.values() if attempt.started)
-        worker.most = max(worker.most, free, own)
-        self.busy += BLEND / 4 * (worker.most - max(0.0, free) - self.busy)
+        worker.capacity = max(worker.capacity, free, own)
+        self.mean_busy_slots += BLEND / 4 * (worker.capacity - max(0.0, free) - self.mean_busy_slots)
         # A reading is old when it comes: what was pushed within its age may not be in it.
         taken = self.now - min(self.gap, self.running) / 2
         while worker.deltas and worker.deltas[0][0] <= taken:
             worker.net -= worker.deltas.popleft()[1]
         if not worker.deltas:
             worker.net = 0.0
-        others = max(0.0, worker.most - worker.free - (worker.held - worker.net))
+        others = max(0.0, worker.capacity - worker.free_slots - (worker.held - worker.net))
         worker.others += BLEND * (others - worker.others)
 
     def on_probe(self, event: api.ProbeEnded) -> None:
@@ -687,20 +691,20 @@
             if event.report is not None:
                 self.learn(worker, event.report)
         elif event.outcome is not Outcome.FULL and worker.ready and self.now - worker.heard > event.took:
-            self.doubt(worker)
+            self.eject(worker)
 
     def spend_probes(self) -> None:
         """Ask the worker whose reading is oldest, where asking is allowed."""
         while self.asks and self.ready and self.probe_credit >= 1:
-            oldest = min(self.near or self.ready, key=lambda worker: worker.asked)
-            if self.now - oldest.asked < self.tick / 2:
+            oldest = min(self.subset or self.ready, key=lambda worker: worker.asked)
+            if self.now - oldest.asked < self.tick_interval / 2:
                 return
             self.probe_credit -= 1
             self.ask(oldest)
 
     def ask(self, worker: Worker) -> None:
         worker.asked = self.now
-        self.todo.append(api.Probe(worker.id))
+        self.actions.append(api.Probe(worker.id))
 
     # The worker list
 
@@ -735,22 +739,22 @@
         self.keep_near()
         for name in joined if self.asks else ():
             # Guards a worker that starts against probes of all dispatchers of a large fleet at once.
-            if self.workers[name] in self.near:
+            if self.workers[name] in self.subset:
                 self.ask(self.workers[name])
         if not self.ticking:
             self.ticking = True
-            self.todo.append(api.SetTimer(1 + int(self.rng.random() * self.tick), TICK))
+            self.actions.append(api.SetTimer(1 + int(self.rng.random() * self.tick_interval), TICK_TOKEN))
 
     def keep_near(self) -> None:
         """Choose the workers to keep to: all of a small fleet, a few of a large one."""
         self.moved = False
-        self.near = self.ready
-        if len(self.ready) > 3 * NEAR:
+        self.subset = self.ready
+        if len(self.ready) > 3 * MIN_SUBSET_SIZE:
             # Guards against the time that a large fleet takes, and against knowing too little of too many.
-            order = sorted((w for w in self.ready if w.holds < 2), key=lambda worker: worker.rank)
+            order = sorted((w for w in self.ready if w.ejections < 2), key=lambda worker: worker.rank)
             home = [w for w in order if w.zone == self.settings.zone][: 3 * self.width // 4]
             far = [w for w in order if w not in home]
-            self.near = home + far[: self.width - len(home)]
+            self.subset = home + far[: self.width - len(home)]
 
     def plan_asking(self) -> None:
         """When to subscribe next: spread at random, and later after each failure."""
@@ -765,7 +769,7 @@
     # Time
 
     def on_timer(self, event: api.TimerFired) -> None:
-        if event.token != TICK:
+        if event.token != TICK_TOKEN:
             job = self.sleeping.pop(event.token, None)
             if job is not None and not job.ended:
                 self.place(job)
@@ -773,22 +777,22 @@
             if attempt is not None:
                 self.reconsider(attempt)
             return
-        self.todo.append(api.SetTimer(self.tick, TICK))
+        self.actions.append(api.SetTimer(self.tick_interval, TICK_TOKEN))
         if not self.subscribed and self.now >= self.ask_at:
-            self.todo.append(api.Subscribe(True))
+            self.actions.append(api.Subscribe(True))
             self.ask_at = self.now + self.settings.ask_every // 2
         # Guards a submitter far busier than others: others fill its workers too, so it keeps to two for each
         # job that it has running.
-        width = min(3 * NEAR, max(NEAR, int(2 * self.load)))
+        width = min(3 * MIN_SUBSET_SIZE, max(MIN_SUBSET_SIZE, int(2 * self.load)))
         if abs(width - self.width) > self.width / 4:
             self.width, self.moved = width, True
-        if self.moved and self.near is not self.ready:
+        if self.moved and self.subset is not self.ready:
             self.keep_near()  # guards against keeping to the dead: the list may tell of them very late
         for worker in self.ready:
             if worker.out:
                 self.check(worker)
-            if worker.holds and worker.down_until <= self.now and self.settings.probes:
-                self.doubt(worker)
+            if worker.ejections and worker.ejected_until <= self.now and self.settings.probes:
+                self.eject(worker)
                 self.ask(worker)
 
     def check(self, worker: Worker) -> None:
@@ -798,9 +802,9 @@
             return
         patience = MISSED_NOTES * progress
         if any(a.started and self.now - a.heard > patience for a in worker.out.values()):
-            if not worker.holds:
-                self.doubt(worker)
-        elif worker.holds < 2:
+            if not worker.ejections:
+                self.eject(worker)
+        elif worker.ejections < 2:
             first = next(iter(worker.out.values()))
             if self.now - max(worker.heard, first.sent) > patience and self.settings.probes:
                 self.ask(worker)  # queued, heavy and lost jobs look alike: ask whether anybody is there
@@ -809,4 +813,4 @@
             for attempt in worker.out.values():
                 job = attempt.job
                 if not job.ended and job.cls.effect is not Effect.UNSAFE:
-                    self.todo.append(api.Cancel(job.id, attempt.index))
+                    self.actions.append(api.Cancel(job.id, attempt.index))
--- a/pulleyroute/snapshot.py
+++ b/pulleyroute/snapshot.py
@@ -21,25 +21,25 @@
 
 # Attribute -> key. Processes of other versions read the keys: their names, set and order must not change.
 _ESTIMATE_KEYS: Keys = {
-    "busy": "busy",
+    "mean_busy_slots": "busy",
     "gap": "gap",
     "load": "load",
     "probe_credit": "probe_credit",
     "running": "running",
-    "runs": "runs",
+    "class_run_times": "runs",
     "tight": "tight",
     "waits_modelled": "waits_modelled",
     "waits_seen": "waits_seen",
 }
 _WORKER_KEYS: Keys = {
-    "blame": "blame",
+    "error_score": "blame",
     "budget": "budget",
     "deep": "deep",
-    "free": "free",
-    "holds": "holds",
+    "free_slots": "free",
+    "ejections": "holds",
     "longest": "longest",
     "memory": "memory",
-    "most": "most",
+    "capacity": "most",
     "mute": "mute",
     "others": "others",
     "prompt": "prompt",
@@ -50,7 +50,7 @@
     "asked": "asked",
     "blamed_at": "blamed_at",
     "budget_at": "budget_at",
-    "down_until": "down_until",
+    "ejected_until": "down_until",
     "heard": "heard",
     "report_at": "report_at",
     "started": "started",
@@ -77,7 +77,7 @@
     """Replace the dispatcher-wide estimates by those that another process packed."""
     # Versions that kept no mean of busy slots send no "busy": the receiver's own value stays, and an upgrade
     # from such a version still transfers all other estimates.
-    _write(rules, {"busy": rules.busy, **values}, _ESTIMATE_KEYS)
+    _write(rules, {"busy": rules.mean_busy_slots, **values}, _ESTIMATE_KEYS)
     rules.full_time.update({(name, give_up): span for name, give_up, span in values["full_time"]})
 
 
@@ -125,7 +125,7 @@
     rules: Dispatcher, now: int, number: int, cls: api.JobClass, max_attempts: int, values: Values, shift: int
 ) -> list[api.Action]:
     """Add a packed job as if this dispatcher had taken it itself; return the actions to carry out at once."""
-    rules.now, rules.todo = now, []
+    rules.now, rules.actions = now, []
     deadline = values["deadline"] + shift
     event = api.JobArrived(number, 0, deadline - now, values["slots"], values["memory"])
     job = Job(event, replace(rules.settings, classes=[cls], max_attempts=max_attempts), now)
@@ -145,7 +145,7 @@
         job.attempts.append(attempt)
         if not attempt.over:
             _add_open_attempt(rules, job, attempt)
-    return rules.todo
+    return rules.actions
 
 
 def _add_open_attempt(rules: Dispatcher, job: Job, attempt: Attempt) -> None:
--- a/tests/net/test_deployments.py
+++ b/tests/net/test_deployments.py
@@ -44,20 +44,20 @@
             "load": {"util": 0.5, "queue": 0, "qps": 8, "x0": 3},
         }
     )
-    assert b" 200 " in client.message()[0] and worker(scene, "s-0").free == 3
+    assert b" 200 " in client.message()[0] and worker(scene, "s-0").free_slots == 3
 
 
 def test_reports_in_answers_are_learnt_from_an_answers_header():
     scene = Scene(info=settings(load=ANSWERS))
     client = scene.ask()
     _, peer = scene.take("t1", accept=False)
-    assert client.sock and not worker(scene, "s-0").signature
+    assert client.sock and not worker(scene, "s-0").last_report
     peer.send(
         b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nX-Pressure: util=0.9,queue=2,qps=8,x0=0.25\r\n"
         b"Content-Length: 0\r\n\r\n"
     )
-    scene.loop.until(lambda: worker(scene, "s-0").signature)
-    assert worker(scene, "s-0").signature.queued == 2
+    scene.loop.until(lambda: worker(scene, "s-0").last_report)
+    assert worker(scene, "s-0").last_report.queued == 2
 
 
 @pytest.mark.parametrize("spoilt", [b"util=,x0=", b"x0=nan", b"x0=-3", b"{", b"\xff\xfe", b"x0=1e400", b""])
@@ -70,7 +70,7 @@
         b"Content-Length: 0\r\n\r\n"
     )
     scene.loop.until(lambda: scene.host._by_txn["t1"].attempts[0].nacked)
-    assert worker(scene, "s-0").most == 0 and not scene.host.faults and not scene.loop.errors
+    assert worker(scene, "s-0").capacity == 0 and not scene.host.faults and not scene.loop.errors
     assert len([line for line in logged if "s-0: its load report is spoilt" in line]) == 1
     assert not client.pull()  # it is tried again
 
@@ -91,7 +91,7 @@
     client = scene.ask()
     first, peer = scene.take("t1")
     other = next(name for name in scene.runners if name != first)
-    worker(scene, other).free = worker(scene, other).most = 8.0
+    worker(scene, other).free_slots = worker(scene, other).capacity = 8.0
     worker(scene, other).report_at = scene.loop.time
     scene.loop.skip(1200 * MS)
     assert (len(scene.host._by_txn["t1"].attempts) > 1) is tells and client.sock and peer.sock
@@ -104,7 +104,7 @@
     client = scene.ask()
     first, peer = scene.take("t1")
     other = next(name for name in scene.runners if name != first)
-    worker(scene, other).free = worker(scene, other).most = 8.0
+    worker(scene, other).free_slots = worker(scene, other).capacity = 8.0
     worker(scene, other).report_at = scene.loop.time
     attempts = scene.host._by_txn["t1"].attempts
     scene.loop.skip(1200 * MS)
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -236,22 +236,22 @@
     old.discovery.tell(old.discovery.list.take(entry, cached=False))
     leaving = old.table("s-1", phase="leaving", complete=False, revision=5)
     old.discovery.tell(old.discovery.list.take(leaving, cached=False))
-    rules.doubt(rules.workers[b"s-0"])
-    until = rules.workers[b"s-0"].down_until
+    rules.eject(rules.workers[b"s-0"])
+    until = rules.workers[b"s-0"].ejected_until
     cold = rules.workers[b"s-2"]
     cold.budget, cold.budget_at = 0.75, old.loop.now()
-    rules.runs["read"] = 4321.0
-    rules.busy = 1.75
+    rules.class_run_times["read"] = 4321.0
+    rules.mean_busy_slots = 1.75
     new = old.next()
     heirs = new.host._dispatcher
     assert new.discovery.version == 5 and not new.discovery.active(b"s-1") and new.discovery.size == 3
-    assert abs(heirs.workers[b"s-0"].down_until - until) <= 20_000 and new.host.avoided == 1
+    assert abs(heirs.workers[b"s-0"].ejected_until - until) <= 20_000 and new.host.avoided == 1
     assert heirs.workers[b"s-2"].budget == 0.75 and cold.budget == 0.0
-    assert heirs.runs == {"read": 4321.0} and heirs.busy == 1.75
+    assert heirs.class_run_times == {"read": 4321.0} and heirs.mean_busy_slots == 1.75
     earlier = {**snapshot.pack_estimates(rules), "load": 3.5}
     del earlier["busy"]  # as a version tells that kept none
     snapshot.restore_estimates(heirs, earlier)
-    assert heirs.load == 3.5 and heirs.busy == 1.75
+    assert heirs.load == 3.5 and heirs.mean_busy_slots == 1.75
     assert b"watch=1&from=5" in new.discovery_peer.accept().message()[0]
 
 
--- a/tests/net/test_host.py
+++ b/tests/net/test_host.py
@@ -66,7 +66,7 @@
     runner.send(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
     assert status(client)[0] == 400
     scene.loop.skip(SECOND)
-    assert not scene.host.held and not any(w.blame for w in scene.host._dispatcher.workers.values())
+    assert not scene.host.held and not any(w.error_score for w in scene.host._dispatcher.workers.values())
     assert scene.runners["s-1" if name == "s-0" else "s-0"].untouched()
 
 
--- a/tests/net/test_instance.py
+++ b/tests/net/test_instance.py
@@ -83,7 +83,7 @@
     runner.close()
     assert b" 502 " in client.message()[0]
     (worker,) = scene.host._dispatcher.workers.values()
-    assert not worker.holds and not worker.down_until
+    assert not worker.ejections and not worker.ejected_until
     for txn in ("t3", "t4"):
         scene.ask("/charge", txn=txn, peer=client)
         fresh = scene.runners["s-0"].accept()  # a new connection for each
@@ -113,7 +113,7 @@
         scene.loop.until(lambda: scene.host.open)
         scene.loop.settle()
     worker = scene.host._dispatcher.workers[b"s-0"]
-    assert not worker.holds and scene.host.open
+    assert not worker.ejections and scene.host.open
     scene.loop.skip(SECOND)
     assert b"X-Txn: t1" in scene.runners["s-0"].accept().message()[0]
 
--- a/tests/net/test_management.py
+++ b/tests/net/test_management.py
@@ -158,7 +158,7 @@
     assert scene.shown()["cluster_size"] == 2  # it still finishes what it has
     worker = scene.host._dispatcher.workers[b"s-0"]
     assert "cluster_unhealthy" not in scene.shown()
-    scene.host._dispatcher.doubt(worker)
+    scene.host._dispatcher.eject(worker)
     assert scene.shown()["cluster_unhealthy"] == 1
     scene.loop.skip(30 * SECOND)
     assert "cluster_unhealthy" not in scene.shown()
--- a/tests/net/test_sizes.py
+++ b/tests/net/test_sizes.py
@@ -55,7 +55,7 @@
     old.discovery.tell(old.discovery.list.take(long_list(old), cached=False))
     rules = old.host._dispatcher
     doubted = f"{'é' * LONG}-{COUNT - 1}".encode()
-    rules.doubt(rules.workers[doubted])
+    rules.eject(rules.workers[doubted])
     new: Process = old.next()
     passing(old, lambda: new.discovery.size == COUNT)
     assert new.discovery.version == 2
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -425,10 +425,10 @@
 def test_a_dispatcher_of_a_large_fleet_keeps_to_few_workers_most_of_them_at_home():
     # Failure: few fresh readings drowned among many old ones, and weighing all took too long.
     bench = Bench(FLEET, zone=1)
-    near = bench.dispatcher.near
+    near = bench.dispatcher.subset
     assert len(near) == 8 and sum(1 for worker in near if worker.zone == 1) >= 6
     assert {pushed(bench.job()[1]) for _ in range(6)} <= {worker.id for worker in near}
-    others = {worker.id for me in range(1, 40) for worker in Bench(FLEET, zone=1, me=me).dispatcher.near}
+    others = {worker.id for me in range(1, 40) for worker in Bench(FLEET, zone=1, me=me).dispatcher.subset}
     assert len(others) > 100  # each keeps to workers of its own
 
 
@@ -437,7 +437,7 @@
     bench = Bench(FLEET, peer_messages=True, dispatchers=40)
     worker = pushed(bench.job()[1])
     told = {tell.peer for tell in of(Tell, bench.log)}
-    keep = {d.settings.me for d in fleet if any(w.id == worker and w.rank * 200 < 8 for w in d.near)} - {0}
+    keep = {d.settings.me for d in fleet if any(w.id == worker and w.rank * 200 < 8 for w in d.subset)} - {0}
     assert told == keep
 
 
@@ -495,7 +495,7 @@
         for bench in self.benches:  # of a mean load; each keeps to 8 of 60 workers, of which this one is one
             reading(bench, b"cold", free_slots=2.0)
             rules = bench.dispatcher
-            rules.near, rules.ready = rules.ready * 8, rules.ready * 60
+            rules.subset, rules.ready = rules.ready * 8, rules.ready * 60
             rules.load = 1.5  # the mean: a slot in use at each of 60 workers, for 40 dispatchers
 
     def share(self, age: float) -> float:
@@ -508,7 +508,7 @@
                 bench.now = 1_000 * SECOND + age
                 # A thousandth more each time: the same reading again would count as an old one.
                 reading(bench, b"cold", free_slots=self.told[step] + step / 1e6)
-                bench.dispatcher.busy = 1.0  # as the readings of the others say
+                bench.dispatcher.mean_busy_slots = 1.0  # as the readings of the others say
                 worker = bench.dispatcher.workers[b"cold"]
                 if bench.dispatcher.affordable(worker, self.share(age), 1.0):
                     worker.budget -= 1
@@ -549,21 +549,21 @@
     # Failure: most of a large fleet died, the list told of it very late, and dispatchers kept to the dead.
     bench = Bench(FLEET, zone=1)
     bench.run(2 * SECOND)
-    dead = bench.dispatcher.near[0]
+    dead = bench.dispatcher.subset[0]
     for _ in range(2):
-        bench.dispatcher.doubt(dead)
+        bench.dispatcher.eject(dead)
     bench.run(SECOND)
-    assert dead not in bench.dispatcher.near and len(bench.dispatcher.near) == 8
+    assert dead not in bench.dispatcher.subset and len(bench.dispatcher.subset) == 8
     bench.tell(ProbeEnded(dead.id, Outcome.OK))
     bench.run(SECOND)
-    assert dead in bench.dispatcher.near
+    assert dead in bench.dispatcher.subset
 
 
 def test_a_large_fleet_found_down_whole_takes_nothing_and_crashes_nothing():
     bench = Bench(FLEET)
     for worker in bench.dispatcher.ready:
-        bench.dispatcher.doubt(worker)
-        bench.dispatcher.doubt(worker)
+        bench.dispatcher.eject(worker)
+        bench.dispatcher.eject(worker)
     bench.run(SECOND // 2 + 1)
     job, actions = bench.job()
     assert not of(Push, actions)
@@ -580,12 +580,12 @@
         if of(Push, actions):
             bench.tell(AttemptStarted(bench.next_job - 1, 0, pushed(actions)))
         bench.run(SECOND // 20)
-    assert 8 < len(bench.dispatcher.near) <= 24
+    assert 8 < len(bench.dispatcher.subset) <= 24
     # Failure: with half a dozen jobs running they kept to eight workers that others filled as well.
     for load, width in ((3.0, 8), (6.0, 12), (50.0, 24)):
         bench.dispatcher.load = load
         bench.run(SECOND)
-        assert len(bench.dispatcher.near) == width
+        assert len(bench.dispatcher.subset) == width
 
 
 def test_a_refusal_advises_the_class_aim_as_far_as_clients_heed_it():
@@ -643,7 +643,7 @@
     # Guards the price of crossings: each costs the same, and a long job leaves room for several short ones.
     bench = Bench([ready(b"home", zone=0), ready(b"away", zone=1)], zone=0, price_cross_zone=0.2)
     dispatcher = bench.dispatcher
-    dispatcher.runs = {"safe": SECOND, "unsafe": 6 * SECOND}
+    dispatcher.class_run_times = {"safe": SECOND, "unsafe": 6 * SECOND}
     assert dispatcher.homing(CLASSES[SAFE]) == dispatcher.homing(CLASSES[UNSAFE]) == 1.0
     reported(bench, home=0.0, away=8.0)
     for _ in range(8):
@@ -662,7 +662,7 @@
         job, _ = bench.job(SAFE)
         bench.tell(AttemptEnded(job, 0, b"only", outcome, final=False, kept=True))
         reported(bench, only=2.0)
-        bench.dispatcher.workers[b"only"].down_until = 0
+        bench.dispatcher.workers[b"only"].ejected_until = 0
         assert bool(of(Push, bench.run(SECOND))) is again
 
 
