--- a/pulleyroute/interface.py
+++ b/pulleyroute/interface.py
@@ -319,7 +319,7 @@
 
 
 @dataclass(slots=True)
-class Tell:
+class SendToPeer:
     """A message to one peer, or to all with `peer` None."""
 
     payload: bytes
@@ -331,4 +331,6 @@
     text: str
 
 
-Action = Push | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe | FetchList | CloseIdle | Tell | Log
+Action = (
+    Push | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe | FetchList | CloseIdle | SendToPeer | Log
+)
--- a/pulleyroute/net/host.py
+++ b/pulleyroute/net/host.py
@@ -88,7 +88,7 @@
             api.Subscribe: lambda action: self._discovery.watch(action.on),
             api.FetchList: lambda action: self._discovery.fetch(),
             api.CloseIdle: lambda action: self._instances.close_idle(action.worker),
-            api.Tell: lambda action: logger.debug("no protocol carries messages between dispatchers"),
+            api.SendToPeer: lambda action: logger.debug("no protocol carries messages between dispatchers"),
             api.Log: lambda action: logger.info("module: {}", action.text),
         }
 
--- a/pulleyroute/wire.py
+++ b/pulleyroute/wire.py
@@ -30,11 +30,11 @@
     ProbeEnded,
     Push,
     Refuse,
+    SendToPeer,
     SetTimer,
     Settings,
     StreamBegan,
     Subscribe,
-    Tell,
     TimerFired,
     WorkerList,
     WorkerState,
@@ -292,7 +292,7 @@
     return _TEXT.pack(code, instance, len(raw)) + raw
 
 
-def _share(instance: int, action: Tell) -> bytes:
+def _share(instance: int, action: SendToPeer) -> bytes:
     peer = ALL_PEERS if action.peer is None else action.peer
     return _SHARE.pack(7, instance, peer, len(action.payload)) + action.payload
 
@@ -305,7 +305,7 @@
     SetTimer: lambda i, a: _ARM.pack(4, i, min(a.after, ARM_LIMIT), a.token),
     Probe: lambda i, a: _PROBE.pack(5, i, a.worker),
     CloseIdle: lambda i, a: _PROBE.pack(6, i, a.worker),
-    Tell: _share,
+    SendToPeer: _share,
     Log: lambda i, a: _text(8, i, a.text),
     Subscribe: lambda i, a: _TAIL.pack(10, i, a.on),
     FetchList: lambda i, a: _GET_LIST.pack(11, i),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,9 +19,9 @@
     ProbeEnded,
     Push,
     Refuse,
+    SendToPeer,
     SetTimer,
     Subscribe,
-    Tell,
     TimerFired,
     WorkerList,
     WorkerState,
@@ -436,7 +436,7 @@
     fleet = [Bench(FLEET, peer_messages=True, dispatchers=40, me=me).dispatcher for me in range(40)]
     bench = Bench(FLEET, peer_messages=True, dispatchers=40)
     worker = pushed(bench.job()[1])
-    told = {tell.peer for tell in of(Tell, bench.log)}
+    told = {tell.peer for tell in of(SendToPeer, bench.log)}
     keep = {d.settings.me for d in fleet if any(w.id == worker and w.rank * 200 < 8 for w in d.subset)} - {0}
     assert told == keep
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -32,10 +32,10 @@
     Push,
     Refuse,
     ReportSource,
+    SendToPeer,
     SetTimer,
     StreamBegan,
     Subscribe,
-    Tell,
     TimerFired,
     WorkerList,
     WorkerState,
@@ -170,7 +170,7 @@
         "04 0300 20a10700 4d000000": SetTimer(500000, 77),
         "08 0300 1100 74776f2073657276657273206b6e6f776e": Log("two servers known"),
         "0a 0300 01": Subscribe(True),
-        "07 0300 ffff 0400 68692037": Tell(b"hi 7"),
+        "07 0300 ffff 0400 68692037": SendToPeer(b"hi 7"),
     }
     for hexed, action in cases.items():
         assert encode(3, action) == bytes.fromhex(hexed)
