--- a/pulleyroute/rules.py
+++ b/pulleyroute/rules.py
@@ -1,8 +1,11 @@
 """All decisions of a dispatcher; its types, events and actions are in `pulleyroute/interface.py`.
 
-The ordinary path: a job is pushed at once to a ready worker that runs its class, drawn at random by reported
-free slots net of own pushes since, with a small floor. A push not accepted is resubmitted elsewhere after a
-Full Jitter sleep. Everything else here is an exception, and says when it acts. See `docs/design.md`.
+A job is pushed at once to one worker by weighted random choice. A worker's weight is its estimated number of
+free slots: those that it reported, less own pushes since, and at least a small floor. A push that is not
+accepted is repeated elsewhere after a Full Jitter backoff. The other rules adjust the weights: admission by
+estimated queue wait (`weight`), outlier ejection (`eject`), slow start (`within_budget`), preference for the
+own zone (`zone_preference`) and subsetting (`choose_subset`). All times are microseconds (us) of the host's
+clock. See `docs/design.md`.
 """
 
 from __future__ import annotations
@@ -15,188 +18,167 @@
 from pulleyroute import interface as api
 from pulleyroute.interface import Effect, Outcome, Scope
 
-# The floor of the draw, in free slots: small beside one, so that full workers draw little while any is free.
-FLOOR = 0.0007
-# Full Jitter: the first sleep is at most this share of the class's aim, and no sleep is longer than the aim,
-# since a job that slept its whole aim away is late wherever it goes.
-BASE_OF_AIM = 1 / 8
-# How many free slots at home outweigh one abroad, for each point in 100 that a crossing costs.
-PULL = 12.0
-# One error in a row makes a worker a tenth as likely; a healthy one hardly ever errs twice running.
-ERROR_FACTOR = 0.1
-# A success takes this share of the blame away.
-FORGIVE = 0.3
-# Progress notes that a running job may miss before its worker is doubted: one may be late, two are not.
-MISSED_NOTES = 2.5
-# Of a cold worker's budget this share is planned for; the rest is for jobs heavier than the mean.
-COLD_SHARE_USED = 0.5
-# Of many dispatchers that split it each has its part by its own load against the mean, within these bounds,
-# less what they may all be wrong by together.
-LEAST_PART, MOST_PART, PARTS_USED = 0.25, 3.0, 0.8
-# Half of all jobs run for less than about this share of the mean: running times have long tails.
-TYPICAL = 0.5
-# A queue seen at some length is held to shrink at half the pace of time, as if half its work kept coming.
-DRAIN = 0.5
-# A class gives up its place sooner by this power of its worth for its work, against the dearest class's.
-YIELD = 0.5
-# Weight of the newest sample in running means.
-BLEND = 0.1
-# A push may stay unstarted for this share of the class's aim, and for so many of the shortest times in which
-# a job has started there, before the job is moved to a worker with room: the way takes its time too.
-START_OF_AIM = 0.3
-START_TRIPS = 3
-# Free slots, as estimated, from which on a worker has room for a job that is moved.
-ROOM = 0.5
-# Probes sent for each job taken.
+MIN_WEIGHT = 0.0007  # slots; so far below 1 that full workers are rarely drawn while any has a slot free
+# Limit of the first backoff, over the class's aim. None is longer than the aim: the job would be late anyway.
+BACKOFF_BASE_SHARE = 1 / 8
+# Free slots in another zone that weigh as much as one in the own zone, for each 0.01 of `price_cross_zone`.
+ZONE_PREFERENCE_SLOTS = 12.0
+ERROR_WEIGHT = 0.1  # factor for an error score of 1; a healthy worker hardly ever fails twice in a row
+ERROR_RECOVERY = 0.3  # share by which a success lowers the error score
+MISSED_PROGRESS = 2.5  # progress intervals without a report from a running job: one may be late, two are not
+PLANNED_BUDGET_SHARE = 0.5  # of a cold worker's budget; the rest is for jobs heavier than the mean
+# A dispatcher's part of a shared budget follows its own load over the mean load, within these bounds, and is
+# reduced by a margin for the error that the estimates of all dispatchers may have in common.
+MIN_LOAD_RATIO, MAX_LOAD_RATIO, LOAD_RATIO_MARGIN = 0.25, 3.0, 0.8
+MEDIAN_RUN_TIME_SHARE = 0.5  # the median running time as a share of the mean; running times have long tails
+QUEUE_DRAIN_RATE = 0.5  # by which a queue wait shrinks per unit of time, as if half its work kept coming
+WORTH_EXPONENT = 0.5  # of a class's worth per running time, relative to the best class's; see `worth_factor`
+EWMA_WEIGHT = 0.1  # of the newest sample in an exponentially weighted moving average
+# A push that has not started within this share of the class's aim, plus this many times the worker's fastest
+# start (the network takes time too), is cancelled if another worker has a free slot.
+START_TIMEOUT_SHARE, START_TIMEOUT_TRIPS = 0.3, 3
+MIN_AVAILABLE_SLOTS = 0.5  # estimated free slots from which on a worker counts as having one
 PROBES_PER_JOB = 1.0
-
-# Of a fleet of more than three times as many a dispatcher keeps to so many workers: the fewer they are, the
-# more of what they hold are its own pushes, but a job must still find one free.
+# Workers in a subset, in fleets of more than three times as many. The fewer workers a dispatcher uses, the
+# more of their load are its own pushes, which it knows; but it must still find one with a free slot.
 MIN_SUBSET_SIZE = 8
 
 PROVEN_NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
-TICK_TOKEN = 0  # the token of the standing timer
+TICK_TOKEN = 0  # token of the periodic timer
 
 
-def rank(worker: api.WorkerId, dispatcher: int) -> float:
-    """Rendezvous: how far a worker is from a dispatcher, from 0 to 1, the same wherever it is worked out."""
+def rendezvous_distance(worker: api.WorkerId, dispatcher: int) -> float:
+    """Return a worker's rendezvous hash for a dispatcher, from 0 to 1, which is the same in every process."""
     return crc32(worker + dispatcher.to_bytes(2, "big")) * 2654435761 % 2**32 / 2**32
 
 
 class Attempt:
-    """One push of a job."""
+    """One push of a job to a worker."""
 
-    __slots__ = ("heard", "index", "job", "modelled", "over", "ran", "sent", "started", "worker")
+    _PUSH = ("expected_wait", "index", "job", "sent_at", "worker")
+    _PROGRESS = ("ended", "last_progress", "may_have_run", "started_at")
+    __slots__ = (*_PUSH, *_PROGRESS)
 
     def __init__(self, job: Job, index: int, worker: Worker, now: int) -> None:
         self.job = job
         self.index = index
         self.worker = worker
-        self.sent = self.heard = now
-        self.started = 0
-        self.over = False
-        self.ran = True  # until proved otherwise
-        self.modelled = job.waits.get(worker.id, 0.0)  # the wait that the draw reckoned with
+        self.sent_at = self.last_progress = now
+        self.started_at = 0  # 0 until it has started
+        self.ended = False
+        self.may_have_run = True  # False once an outcome proves that it has not
+        self.expected_wait = job.expected_waits.get(worker.id, 0.0)  # us in the worker's queue, when drawn
 
 
 class Job:
-    """A job taken and not yet forgotten."""
-
-    __slots__ = (
-        "attempts",
-        "cls",
-        "deadline",
-        "ended",
-        "hint",
-        "id",
-        "memory",
-        "most",
-        "out",
-        "slots",
-        "tries",
-        "useful_until",
-        "waits",
-    )
+    """A job from its arrival until it is answered and its last attempt has ended."""
+
+    _REQUEST = ("cls", "deadline", "hint", "id", "max_attempts", "memory", "slots")
+    _STATE = ("attempts", "backoffs", "ended", "expected_waits", "open_count", "useful_until")
+    __slots__ = (*_REQUEST, *_STATE)
 
     def __init__(self, event: api.JobArrived, settings: api.Settings, now: int) -> None:
         self.id = event.job
-        # Guards an open job against other settings: its class and limit are those it was taken under.
-        self.cls, self.most = settings.classes[event.job_class], settings.max_attempts
+        # Settings may change while the job is open: it keeps the class and limit of its arrival.
+        self.cls, self.max_attempts = settings.classes[event.job_class], settings.max_attempts
         self.deadline = now + event.time_left
-        self.useful_until = self.deadline  # an answer later than this earns little; set at each placing
+        self.useful_until = self.deadline  # an answer after this time earns little; set by `place`
         self.slots = event.slots
         self.memory = event.memory
-        # Guards the reckoning against a spoilt guess: no job in time runs for longer than its client waits.
+        # A wrong cost hint must not distort the estimates: no job in time runs longer than its client waits.
         hint = event.cost_hint or 0
-        self.hint = min(hint, event.time_left) if hint > 0 else None
+        self.hint = min(hint, event.time_left) if hint > 0 else None  # us
         self.attempts: list[Attempt] = []
-        self.out = 0  # attempts out
-        self.tries = 0  # pushes not accepted, and draws that found nobody
-        self.waits: dict[api.WorkerId, float] = {}
+        self.open_count = 0  # attempts that have not ended
+        self.backoffs = 0  # after pushes that were not accepted and draws that found no worker
+        self.expected_waits: dict[api.WorkerId, float] = {}  # us, by worker without a free slot
         self.ended = False
 
 
 class Worker:
     """What this dispatcher knows of a worker."""
 
-    _LISTED = ("cell", "id", "kind", "rank", "ready", "started", "zone")
-    _OWN_LOAD = ("asked", "deltas", "held", "net", "out", "unstarted")
-    _REPORTED = ("deep", "free_slots", "memory", "capacity", "others", "report_at", "last_report")
-    _HEALTH = ("error_score", "blamed_at", "ejected_until", "heard", "ejections", "mute", "prompt", "shut")
-    _QUEUE = ("longest", "wait", "wait_at")
-    _COLD_START = ("budget", "budget_at")
-    __slots__ = (*_LISTED, *_OWN_LOAD, *_REPORTED, *_HEALTH, *_QUEUE, *_COLD_START)
+    _LISTED = ("cell", "distance", "id", "kind", "ready", "started", "zone")
+    _OWN_LOAD = ("open_attempts", "own_slots", "slot_changes", "unreported_slots", "unstarted")
+    _LOAD = ("capacity", "free_memory", "free_slots", "other_slots", "queue_unknown")
+    _REPORT = ("last_report", "probed_at", "report_at")
+    _HEALTH = ("ejected_until", "ejections", "error_score", "error_score_at", "last_seen", "rejections")
+    _STARTS = ("fastest_start", "last_wait", "last_wait_at", "longest_wait", "start_timeouts")
+    _SLOW_START = ("budget", "budget_at")
+    __slots__ = (*_LISTED, *_OWN_LOAD, *_LOAD, *_REPORT, *_HEALTH, *_STARTS, *_SLOW_START)
 
     def __init__(self, entry: api.Entry) -> None:
         self.id = entry.worker
-        self.out: dict[tuple[int, int], Attempt] = {}
-        self.unstarted: dict[tuple[int, int], Attempt] = {}
-        self.deltas: deque[tuple[int, float]] = deque()
-        self.held = 0.0  # slots that own attempts hold there
-        self.net = 0.0  # slots so taken since the last report, less those given back
-        self.asked = 0
-        self.rank = 0.0  # how far it is from this dispatcher
+        self.open_attempts: dict[tuple[int, int], Attempt] = {}  # by job id and index
+        self.unstarted: dict[tuple[int, int], Attempt] = {}  # those of them that have not started
+        self.slot_changes: deque[tuple[int, float]] = deque()  # own ones not in a report yet: time, slots
+        self.own_slots = 0.0  # slots that own attempts take
+        self.unreported_slots = 0.0  # sum of `slot_changes`
+        self.probed_at = 0
+        self.distance = 0.0  # rendezvous hash for this dispatcher
         self.update(entry)
         self.reset(entry)
 
     def update(self, entry: api.Entry) -> None:
+        """Take over what the worker list says."""
         self.kind, self.cell, self.zone = entry.kind, entry.cell, entry.zone
         self.ready = entry.state is api.WorkerState.READY
 
     def reset(self, entry: api.Entry) -> None:
-        """A process that has just started has no past."""
-        self.started = entry.started
-        self.free_slots: float | None = None
-        self.memory: float | None = None
-        self.capacity = 0.0  # slots it is known to have
-        self.deep = False  # its last reading was full and told no queue
-        self.report_at = 0
-        self.others = 0.0  # slots that others hold there, on the average of its readings
+        """Forget load and health of an earlier process, as the worker has restarted."""
+        self.started = entry.started  # 0: long ago
+        self.free_slots: float | None = None  # by the last report; negative: jobs in its queue
+        self.free_memory: float | None = None  # in the unit of the reports
+        self.capacity = 0.0  # slots: the most seen free or in own use
+        self.queue_unknown = False  # the last report showed no free slot and no queue length
+        self.report_at = 0  # when the last report that differed from the one before arrived
+        self.other_slots = 0.0  # slots used by other dispatchers (EWMA)
         self.last_report: api.LoadReport | None = None
-        self.error_score = 0.0
-        self.blamed_at = self.ejected_until = 0
-        self.mute = 0  # jobs in a row that were moved away as they did not start
-        self.prompt: int | None = None  # the shortest time in which a job has started there
-        self.shut = 0  # jobs in a row that it turned away though it showed room
-        self.ejections = 0  # times in a row that it was found down
-        self.heard = self.wait = 0  # the wait of a job that started, or was turned away, at `wait_at`
-        self.wait_at = self.longest = 0  # the longest is of all waits seen
-        self.budget = -1.0  # pushes that a cold worker may get now; below 0: not yet opened
-        self.budget_at = 0
+        self.error_score = 0.0  # one point for each error; decays over time and with each success
+        self.error_score_at = self.ejected_until = 0
+        self.start_timeouts = 0  # jobs in a row that were cancelled because they did not start
+        self.fastest_start: int | None = None  # us from push to start, the shortest seen
+        self.rejections = 0  # jobs in a row that it rejected although its report showed a free slot
+        self.ejections = 0  # since the worker last responded
+        self.last_seen = self.last_wait = 0  # last sign of life; us that a job waited, at `last_wait_at`
+        self.last_wait_at = self.longest_wait = 0
+        self.budget = -1.0  # slow start: tokens, in mean jobs; below 0: not yet opened
+        self.budget_at = 0  # when tokens were last added
 
 
 class Dispatcher:
-    """Decides for one dispatcher. Feed it events in order; carry out what `handle` returns."""
+    """Decides for one dispatcher: pass events to `handle` in order, and carry out the actions it returns."""
 
     def __init__(self, settings: api.Settings, seed: int, now: int) -> None:
         self.on_settings(api.SettingsChanged(settings))
         self.rng = Random(seed)
         self.now = now
         self.jobs: dict[int, Job] = {}
-        self.full_time: dict[tuple[str, int], int] = {}  # by class: the time that a first try comes with
+        self.first_try_time: dict[tuple[str, int], int] = {}  # by class: longest time left at an arrival, us
         self.workers: dict[api.WorkerId, Worker] = {}
         self.ready: list[Worker] = []
-        self.tight = 0.0  # the share of jobs lately that found no room at home
-        self.held = self.load = 0.0  # slots that own started attempts hold, now and on average
-        self.mean_busy_slots = 1.0  # slots in use at a worker, on the average of readings
-        self.width = MIN_SUBSET_SIZE  # how many workers it keeps to
-        self.moved = False  # whether one was found down or back since those near were chosen
-        self.subset: list[Worker] = []  # those of them that it keeps to
-        self.sleeping: dict[int, Job] = {}
-        self.unsure: dict[int, Attempt] = {}  # by timer: attempts that should have started by then
-        self.token = TICK_TOKEN
+        self.zone_saturation = 0.0  # share of jobs that found no free slot in the own zone (EWMA)
+        self.running_slots = self.load = 0.0  # slots of own started attempts: now, and at arrivals (EWMA)
+        self.mean_busy_slots = 1.0  # slots in use at a worker (EWMA over reports)
+        self.subset_size = MIN_SUBSET_SIZE
+        self.subset_outdated = False  # its size has changed, or a worker went down or came back
+        self.subset: list[Worker] = []  # the ready workers that jobs are pushed to
+        self.backing_off: dict[int, Job] = {}  # by timer token
+        self.start_timers: dict[int, Attempt] = {}  # by timer token
+        self.last_token = TICK_TOKEN
         self.actions: list[api.Action] = []
-        self.running = sum(c.aim for c in settings.classes) / len(settings.classes)  # mean running time seen
-        self.class_run_times: dict[str, float] = {}  # the same by class
-        self.work = self.running  # the same on warm workers
-        self.hinted = 1.0  # how long jobs run for each unit that was guessed
-        # What waits turned out to be, and were modelled as: others' jobs, not told of, stand in line too.
-        self.waits_seen = self.waits_modelled = self.running
-        self.gap = 0.0  # time between two reports of a worker, as seen
-        self.probe_credit = 0.0
+        # Running times are EWMAs in us. Until the first one is seen, the mean aim of the classes stands in.
+        self.mean_run_time = sum(c.aim for c in settings.classes) / len(settings.classes)
+        self.class_run_times: dict[str, float] = {}  # by class name
+        self.warm_run_time = self.mean_run_time  # on workers that are not cold
+        self.hint_ratio = 1.0  # running time over cost hint (EWMA)
+        # Queue waits (EWMAs, us), seen and estimated: they differ as other dispatchers' jobs queue unseen.
+        self.mean_wait_seen = self.mean_wait_expected = self.mean_run_time
+        self.report_interval = 0.0  # us between two reports of a worker (EWMA)
+        self.probe_credit = 0.0  # probes
         self.subscribed = not settings.list_on_request
-        self.ask_at = self.ask_fails = 0
-        self.ticking = False
+        self.subscribe_at = self.list_failures = 0
+        self.tick_armed = False
         self.handlers = {
             api.JobArrived: self.on_job,
             api.AttemptStarted: self.on_started,
@@ -207,19 +189,20 @@
             api.WorkerList: self.on_list,
             api.TimerFired: self.on_timer,
             api.JobExpired: self.on_expired,
-            api.PeerMessage: lambda event: None,  # no deployment has them
+            api.PeerMessage: lambda event: None,  # dispatchers send each other no messages
             api.SettingsChanged: self.on_settings,
         }
 
     def on_settings(self, event: api.SettingsChanged) -> None:
+        """Apply settings; jobs that are open keep their class and limits."""
         self.settings = settings = event.settings
-        self.patience = min(c.give_up for c in settings.classes)
-        self.asks = settings.probes and settings.report_source is not api.ReportSource.NONE
-        self.abroad = 1 / (1 + PULL * 100 * settings.price_cross_zone)
-        self.tick_interval = max(1, (settings.progress or self.patience // 5) // 2)
+        self.shortest_give_up = min(c.give_up for c in settings.classes)
+        self.sends_probes = settings.probes and settings.report_source is not api.ReportSource.NONE
+        self.cross_zone_factor = 1 / (1 + ZONE_PREFERENCE_SLOTS * 100 * settings.price_cross_zone)
+        self.tick_interval = max(1, (settings.progress or self.shortest_give_up // 5) // 2)
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event at time `now` and return what to do."""
+        """Handle one event at time `now` and return the actions to carry out."""
         self.now = now
         self.actions = []
         self.handlers[type(event)](event)  # type: ignore[operator]
@@ -228,130 +211,131 @@
     # Jobs
 
     def on_job(self, event: api.JobArrived) -> None:
+        """Accept a job and place it."""
         job = Job(event, self.settings, self.now)
         self.jobs[job.id] = job
-        kind = job.cls.name, job.cls.give_up
-        self.full_time[kind] = max(self.full_time.get(kind, 0), event.time_left)
+        class_key = job.cls.name, job.cls.give_up
+        self.first_try_time[class_key] = max(self.first_try_time.get(class_key, 0), event.time_left)
         self.probe_credit = min(self.probe_credit + PROBES_PER_JOB, len(self.ready))
-        self.load += BLEND * (self.held - self.load)
+        self.load += EWMA_WEIGHT * (self.running_slots - self.load)
         self.place(job)
         self.spend_probes()
 
     def place(self, job: Job) -> None:
-        """Push the job to a worker drawn at random, or let it sleep if nobody can take it."""
-        if len(job.attempts) >= job.most:
-            self.end(job)
+        """Push the job to a worker by weighted random choice, or back off if none can take it."""
+        if len(job.attempts) >= job.max_attempts:
+            self.end_unsuccessfully(job)
             return
-        # A later try of a client comes with less time than a first one: so much of its aim is gone already.
-        born = job.deadline - self.full_time[job.cls.name, job.cls.give_up]
-        # Guards heavy jobs against a wait that a guess alone allows: it is rough, and some workers are slow.
-        spare = min(self.expected(job), TYPICAL * self.class_run_times.get(job.cls.name, self.running))
-        useful = born + int((job.cls.aim + max(0.0, job.cls.stretch - 1) * spare) * self.rank(job.cls))
-        job.useful_until = min(job.deadline, useful)
-        if self.abroad < 1:
-            home = any(w.zone == self.settings.zone and self.room(w, job) > ROOM for w in self.subset)
-            self.tight += BLEND * ((not home) - self.tight)
-        worker = self.draw(job)
+        # A client's retry arrives with less time left than its first try: that much of the aim is used up.
+        first_tried_at = job.deadline - self.first_try_time[job.cls.name, job.cls.give_up]
+        # At most the class's median: a hint is rough and some workers are slow, so a long wait that only the
+        # hint allows would make heavy jobs late.
+        median = MEDIAN_RUN_TIME_SHARE * self.class_run_times.get(job.cls.name, self.mean_run_time)
+        stretch = max(0.0, job.cls.stretch - 1) * min(self.expected_run_time(job), median)
+        useful_until = first_tried_at + int((job.cls.aim + stretch) * self.worth_factor(job.cls))
+        job.useful_until = min(job.deadline, useful_until)
+        if self.cross_zone_factor < 1:
+            local = (w for w in self.subset if w.zone == self.settings.zone)
+            slot_free = any(self.available_slots(w, job) > MIN_AVAILABLE_SLOTS for w in local)
+            self.zone_saturation += EWMA_WEIGHT * ((not slot_free) - self.zone_saturation)
+        worker = self.choose_worker(job)
         if worker is None:
-            self.sleep(job, job.useful_until)
+            self.back_off(job, job.useful_until)
             return
         attempt = Attempt(job, len(job.attempts), worker, self.now)
         job.attempts.append(attempt)
-        job.out += 1
+        job.open_count += 1
         key = (job.id, attempt.index)
-        worker.out[key] = attempt
-        worker.unstarted[key] = attempt
-        self.take(worker, job.slots)
-        worker.budget -= self.size(job)
+        worker.open_attempts[key] = worker.unstarted[key] = attempt
+        self.add_slots(worker, job.slots)
+        worker.budget -= self.relative_size(job)
         self.actions.append(api.Push(job.id, worker.id, job.deadline))
-        self.expect_start(attempt)
+        self.arm_start_timer(attempt)
 
-    def expect_start(self, attempt: Attempt) -> None:
-        """Look again at a push that may be repeated when it should have started."""
+    def arm_start_timer(self, attempt: Attempt) -> None:
+        """Set a timer for the time by which a push that may be repeated should have started."""
         job, s = attempt.job, self.settings
-        if (
-            s.tells_start
-            and s.cancels
-            and job.cls.effect is not Effect.UNSAFE
-            and (len(job.attempts) < job.most)
-        ):
-            trip = attempt.worker.prompt
-            trips = self.running * BLEND if trip is None else START_TRIPS * trip
-            self.token += 1
-            self.unsure[self.token] = attempt
-            self.actions.append(api.SetTimer(int(START_OF_AIM * job.cls.aim + trips), self.token))
-
-    def reconsider(self, attempt: Attempt) -> None:
-        """Guards a short job against a queue that no report showed, and against a silent worker."""
+        repeatable = job.cls.effect is not Effect.UNSAFE and len(job.attempts) < job.max_attempts
+        if s.tells_start and s.cancels and repeatable:
+            trip = attempt.worker.fastest_start
+            trips = self.mean_run_time * EWMA_WEIGHT if trip is None else START_TIMEOUT_TRIPS * trip
+            self.last_token += 1
+            self.start_timers[self.last_token] = attempt
+            self.actions.append(api.SetTimer(int(START_TIMEOUT_SHARE * job.cls.aim + trips), self.last_token))
+
+    def on_start_overdue(self, attempt: Attempt) -> None:
+        """Cancel a push that has not started in time, if another worker has a free slot.
+
+        A short job would be late in a queue that no report showed, or at a worker that does not respond.
+        """
         job, worker = attempt.job, attempt.worker
-        if attempt.over or attempt.started or job.ended or self.now >= job.useful_until:
+        if attempt.ended or attempt.started_at or job.ended or self.now >= job.useful_until:
             return
         tried = [a.worker for a in job.attempts]
-        if not any(
-            w.free_slots is not None and self.room(w, job) > ROOM and self.weight(w, job) > 0
-            for w in self.eligible(job)
-            if w not in tried
-        ):
-            self.expect_start(attempt)  # its place in the queue is as good as any
+        others = (w for w in self.eligible(job) if w not in tried and w.free_slots is not None)
+        free = (w for w in others if self.available_slots(w, job) > MIN_AVAILABLE_SLOTS)
+        if not any(self.weight(w, job) > 0 for w in free):
+            self.arm_start_timer(attempt)  # its place in the queue is as good as any
             return
         self.actions.append(api.Cancel(job.id, attempt.index))
-        # Guards against the next report, which may show room again: what does not start is not free.
-        self.waited(worker, self.now - attempt.sent)
+        # The next report may show free slots again, but a job that does not start proves that there are none.
+        self.record_wait(worker, self.now - attempt.sent_at)
         worker.free_slots = min(0.0, worker.free_slots or 0.0)
-        worker.mute += 1
-        if worker.mute > 1:
-            worker.ejected_until = self.now + min(self.patience, self.tick_interval * (worker.mute - 1))
+        worker.start_timeouts += 1
+        if worker.start_timeouts > 1:
+            ejection = min(self.shortest_give_up, self.tick_interval * (worker.start_timeouts - 1))
+            worker.ejected_until = self.now + ejection
 
-    def expected(self, job: Job) -> float:
-        """How long the job will run on a warm worker: at least, where nobody has guessed it."""
+    def expected_run_time(self, job: Job) -> float:
+        """Return the job's running time on a warm worker by its cost hint, else a low estimate, in us."""
         if job.hint is not None:
-            return job.hint * self.hinted
-        return TYPICAL * self.class_run_times.get(job.cls.name, self.running)
-
-    def size(self, job: Job) -> float:
-        """The job's work in mean jobs."""
-        return job.slots if job.hint is None else job.slots * self.expected(job) / self.work
-
-    def density(self, cls: api.JobClass) -> float:
-        """Worth for each microsecond of running."""
-        return (
-            cls.worth
-            if self.settings.by_work
-            else cls.worth / self.class_run_times.get(cls.name, self.running)
-        )
-
-    def rank(self, cls: api.JobClass) -> float:
-        """Guards the dear jobs in an overload: a class worth less for its work gives up its place sooner."""
-        best = max(self.density(c) for c in self.settings.classes)
-        return (self.density(cls) / best) ** YIELD if best > 0 else 1.0
-
-    def draw(self, job: Job) -> Worker | None:
-        """The draw: free slots net of own pushes since, with a floor, times what the exceptions say."""
+            return job.hint * self.hint_ratio
+        return MEDIAN_RUN_TIME_SHARE * self.class_run_times.get(job.cls.name, self.mean_run_time)
+
+    def relative_size(self, job: Job) -> float:
+        """Return the job's work in mean jobs, the unit of slow-start budgets."""
+        return job.slots if job.hint is None else job.slots * self.expected_run_time(job) / self.warm_run_time
+
+    def worth_per_time(self, cls: api.JobClass) -> float:
+        """Return the worth of a class for each us of running; its plain worth if that counts by work."""
+        run_time = self.class_run_times.get(cls.name, self.mean_run_time)
+        return cls.worth if self.settings.by_work else cls.worth / run_time
+
+    def worth_factor(self, cls: api.JobClass) -> float:
+        """Return the factor, from 0 to 1, by which a class's useful time is shortened.
+
+        In an overload, a class that is worth less for its work gives up its place to more valuable jobs.
+        """
+        best = max(self.worth_per_time(c) for c in self.settings.classes)
+        return (self.worth_per_time(cls) / best) ** WORTH_EXPONENT if best > 0 else 1.0
+
+    def choose_worker(self, job: Job) -> Worker | None:
+        """Return a worker by weighted random choice, None if no weight is above 0."""
         among = self.eligible(job)
-        # Where all others are out of the question, one that turned it away may have room by now; but none
-        # gets it again where it may have run.
-        for avoid in ([a.worker for a in job.attempts], [a.worker for a in job.attempts if a.ran]):
+        # If no untried worker is left, one that rejected the job may have a free slot by now. A worker where
+        # the job may have run never gets it again.
+        for avoid in ([a.worker for a in job.attempts], [a.worker for a in job.attempts if a.may_have_run]):
             weights = [0.0 if w in avoid else self.weight(w, job) for w in among]
             if sum(weights) > 0:
                 return self.rng.choices(among, weights)[0]
         return None
 
-    def homing(self, cls: api.JobClass) -> float:
-        """How much of the pull home counts for a class, from 0 to 1.
+    def zone_preference(self, cls: api.JobClass) -> float:
+        """Return how far the preference for the own zone applies to a class, from 0 to 1.
 
-        Guards the room at home where it is short: a crossing costs the same whatever crosses, and one long
-        job leaves room there for several short ones, which would cross instead.
+        If free slots in the own zone are scarce, the longest classes leave it first: a crossing costs as
+        much for any job, and one long job leaves slots to several short ones, which would cross instead.
         """
         shortest = min(self.class_run_times.values(), default=0.0)
         if not shortest:
             return 1.0
         longer = self.class_run_times.get(cls.name, shortest) / shortest - 1
-        return max(0.0, 1 - self.tight * longer)
+        return max(0.0, 1 - self.zone_saturation * longer)
 
     def eligible(self, job: Job) -> list[Worker]:
-        """The workers that may be pushed the job."""
-        cls, bound = job.cls, self.bound(job)
-        if bound is not None and self.now >= bound.sent + cls.repeat_window:
+        """Return the workers that may run the job: by its kind, and by the group that drops its repeats."""
+        cls, bound = job.cls, self.binding_attempt(job)
+        if bound is not None and self.now >= bound.sent_at + cls.repeat_window:
             return []
         among = self.subset if bound is None and cls.kind < 0 else self.ready
         if cls.kind >= 0:
@@ -362,364 +346,381 @@
             among = [w for w in among if w.cell == bound.worker.cell]
         return among
 
-    def waiting(self, worker: Worker) -> list[Attempt]:
-        """Own pushes that wait there for their start, the oldest first.
+    def waiting_attempts(self, worker: Worker) -> list[Attempt]:
+        """Return own pushes that wait at the worker for their start, the oldest first.
 
-        Guards live workers against jobs lost in silence, which never start: a slot that was free two readings
-        after the push proves that nothing queues before it.
+        A job that was lost never starts and must not make a live worker look full: a slot that was free two
+        report intervals after a push proves that nothing queues before it, so that push is left out.
         """
-        if worker.free_slots is None or worker.free_slots < 1 or not self.gap:
+        if worker.free_slots is None or worker.free_slots < 1 or not self.report_interval:
             return list(worker.unstarted.values())
-        seen = worker.report_at - 2 * self.gap
-        return [attempt for attempt in worker.unstarted.values() if attempt.sent > seen]
+        seen = worker.report_at - 2 * self.report_interval
+        return [attempt for attempt in worker.unstarted.values() if attempt.sent_at > seen]
 
-    def room(self, worker: Worker, job: Job) -> float:
-        """Its free slots for the job, as far as can be told; negative where jobs wait."""
-        now = self.now
+    def available_slots(self, worker: Worker, job: Job) -> float:
+        """Estimate the free slots, less any that the job takes beyond one; negative if jobs are queued."""
         free = worker.free_slots
         if free is None:
-            free = 1.0 - worker.net
+            free = 1.0 - worker.unreported_slots
         else:
-            # A reading may be out of date either way, but what is out there itself surely takes room.
-            room = worker.capacity - worker.held
-            free = min(free - worker.net, room)
-            # Guards against late readings: as one ages, what others usually hold there tells more. Slots
-            # change hands as jobs end, and a reading is half the time between two old when it comes.
-            trust = exp(-(now - worker.report_at + self.gap / 2) / max(1.0, self.running))
-            usual = room - worker.others
-            if worker.deep:  # full, with a queue of unknown length: age does not make it look freer
+            # The report may be outdated either way, but own open attempts surely take slots.
+            not_own = worker.capacity - worker.own_slots
+            free = min(free - worker.unreported_slots, not_own)
+            # Slots change hands as jobs end, so the older a report is, the more the usual load of other
+            # dispatchers counts. A report is half an interval old on average when it arrives.
+            trust = exp(
+                -(self.now - worker.report_at + self.report_interval / 2) / max(1.0, self.mean_run_time)
+            )
+            usual = not_own - worker.other_slots
+            if worker.queue_unknown:  # age must not make a full worker with an unknown queue look freer
                 usual = min(usual, free)
             free = trust * free + (1 - trust) * usual
         free -= job.slots - 1
-        waiting = self.waiting(worker)
-        # A job still unstarted after a while waits in a queue: no slot is free, whatever the report says.
-        if waiting and now - waiting[0].sent > self.running * BLEND:
+        waiting = self.waiting_attempts(worker)
+        # A job that has not started after a while is queued: no slot is free, whatever the report says.
+        if waiting and self.now - waiting[0].sent_at > self.mean_run_time * EWMA_WEIGHT:
             free = min(free, 1.0 - len(waiting))
-        if job.memory and worker.memory is not None and job.memory > worker.memory:
+        if job.memory and worker.free_memory is not None and job.memory > worker.free_memory:
             free = min(free, 0.0)
         return free
 
     def is_ejected(self, worker: Worker, now: int) -> bool:
-        """Whether nothing is pushed to it for now."""
-        return worker.ejected_until > now or (worker.ejections > 0 and bool(worker.out))
+        """Return whether the worker gets no push for now: it is ejected, or one job tests its recovery."""
+        return worker.ejected_until > now or (worker.ejections > 0 and bool(worker.open_attempts))
 
     def weight(self, worker: Worker, job: Job) -> float:
-        """Free slots net of own pushes since, and the exceptions."""
-        now = self.now
-        if self.is_ejected(worker, now):
-            # Guards against a dead worker's last reading: it shows more free slots than the full ones alive.
-            return 0.0
-        free = self.room(worker, job)
-        if free > FLOOR:
-            weight = free if worker.free_slots is not None else FLOOR  # until it reports
+        """Return the worker's weight in the random choice, in free slots; 0 rules it out.
+
+        A worker without a free slot gets a part of `MIN_WEIGHT`, or 0 if the estimated queue wait would last
+        until the job is no longer useful. Other zones, errors and slow start reduce the weight by factors.
+        """
+        if self.is_ejected(worker, self.now):
+            return 0.0  # a dead worker's last report may show more free slots than full live workers have
+        free = self.available_slots(worker, job)
+        if free > MIN_WEIGHT:
+            weight = free if worker.free_slots is not None else MIN_WEIGHT  # until the first report
         else:
-            # Guards against jams: a job that would wait past its use there keeps others from being in time.
-            ahead = 1.0 - free
-            wait = ahead * self.running / max(worker.capacity, 1.0)
-            wait = max(wait, worker.wait - (now - worker.wait_at) * DRAIN)
-            waiting = self.waiting(worker)
+            ahead = 1.0 - free  # jobs
+            wait = ahead * self.mean_run_time / max(worker.capacity, 1.0)
+            wait = max(wait, worker.last_wait - (self.now - worker.last_wait_at) * QUEUE_DRAIN_RATE)
+            waiting = self.waiting_attempts(worker)
             if waiting:
-                # What has waited so long stands before it, and what was pushed since.
-                wait += now - waiting[0].sent
-            if now + wait * max(1.0, self.waits_seen / self.waits_modelled) > job.useful_until:
+                wait += self.now - waiting[0].sent_at  # the oldest has waited so long, and is ahead
+            # A job that would start too late to be useful would only make the jobs behind it late as well.
+            if self.now + wait * max(1.0, self.mean_wait_seen / self.mean_wait_expected) > job.useful_until:
                 return 0.0
-            weight = FLOOR / ahead
-            job.waits[worker.id] = wait
+            weight = MIN_WEIGHT / ahead
+            job.expected_waits[worker.id] = wait
         if worker.zone != self.settings.zone:
-            weight *= self.abroad ** self.homing(job.cls)
+            weight *= self.cross_zone_factor ** self.zone_preference(job.cls)
         if worker.error_score:
-            blame = worker.error_score * 0.5 ** ((now - worker.blamed_at) / self.patience)
-            weight *= ERROR_FACTOR**blame
-        if self.cold(worker):
-            share = self.present(now - worker.started)
-            weight *= share if self.affordable(worker, share, self.size(job)) else 0.0
+            half_lives = (self.now - worker.error_score_at) / self.shortest_give_up
+            weight *= ERROR_WEIGHT ** (worker.error_score * 0.5**half_lives)
+        if self.is_cold(worker):
+            share = self.capacity_share(self.now - worker.started)
+            weight *= share if self.within_budget(worker, share, self.relative_size(job)) else 0.0
         return weight
 
-    def cold(self, worker: Worker) -> bool:
-        """Whether it may not be warm yet."""
+    def is_cold(self, worker: Worker) -> bool:
+        """Return whether the worker started so recently that it may still be warming up."""
         return worker.started > 0 and self.now - worker.started < self.settings.ramp_time
 
-    def present(self, age: int) -> float:
-        """The share of its capacity that a worker of this age has at the least."""
+    def capacity_share(self, age: int) -> float:
+        """Return the least share of its capacity that a cold worker of this age, in us, has."""
         cold = self.settings.cold_share
         return cold + (1 - cold) * age / self.settings.ramp_time
 
-    def affordable(self, worker: Worker, share: float, size: float) -> bool:
-        """Whether this dispatcher's part of a cold worker's budget has room for so many mean jobs."""
+    def within_budget(self, worker: Worker, share: float, size: float) -> bool:
+        """Return whether this dispatcher's slow-start budget for a cold worker covers `size` mean jobs.
+
+        The settings state how much work within a window brings a cold worker down. The budget is a token
+        bucket, in mean jobs, filled with this dispatcher's part of a planned share of that work.
+        """
         s = self.settings
-        whole = s.tip_multiple * share * max(worker.capacity, 1.0) * s.tip_window / self.work  # jobs
-        # Guards a cold fleet against idling: a slot free by a fresh reading proves that all dispatchers
-        # together send less than the worker does, so that neither chance nor crowds need room kept for them.
-        roomy = (worker.free_slots or 0.0) >= 1 and self.now - worker.report_at < s.tip_window / 2
-        # Of all dispatchers those that keep to it, and as many again, as they are not spread evenly.
-        sharers = s.dispatchers * min(1.0, (2 - roomy) * max(1, len(self.subset)) / len(self.ready))
-        planned = COLD_SHARE_USED * whole
-        if roomy and self.now - worker.started > 2 * s.tip_window:
-            # Guards against idling where a worker warms sooner than the settings promise: one that is sent
-            # as much as it surely does, and that still shows free slots, does more.
+        limit = s.tip_multiple * share * max(worker.capacity, 1.0) * s.tip_window / self.warm_run_time  # jobs
+        # A free slot in a fresh report proves that all dispatchers together send less than the worker does:
+        # a reserve for chance and uneven load is not needed then, and would leave a cold fleet idle.
+        slot_free = (worker.free_slots or 0.0) >= 1 and self.now - worker.report_at < s.tip_window / 2
+        # The dispatchers whose subset has the worker: as many on average, else twice as many, as subsets are
+        # not spread evenly.
+        sharers = s.dispatchers * min(1.0, (2 - slot_free) * max(1, len(self.subset)) / len(self.ready))
+        planned = PLANNED_BUDGET_SHARE * limit
+        if slot_free and self.now - worker.started > 2 * s.tip_window:
+            # A worker that gets all that it surely handles and still shows free slots warms up sooner than
+            # the settings state, and would idle otherwise.
             planned *= 1 + min(1.0, (worker.free_slots or 0.0) / worker.capacity) / 2
-        if sharers > MIN_SUBSET_SIZE and not roomy:
-            # Guards against chance: many that act alone make a random stream; four deviations fit.
-            planned = min(planned, ((max(0.0, whole - 1) + 4) ** 0.5 - 2) ** 2)
+        if sharers > MIN_SUBSET_SIZE and not slot_free:
+            # Many independent dispatchers send a random stream: leave four standard deviations to the limit.
+            planned = min(planned, ((max(0.0, limit - 1) + 4) ** 0.5 - 2) ** 2)
         per_us = planned / sharers / s.tip_window
         if self.subset is not self.ready:
-            # Guards busy dispatchers against want beside tokens that lie with idle ones.
-            mean = max(FLOOR, self.mean_busy_slots * len(self.ready) / s.dispatchers)
-            per_us *= PARTS_USED * min(MOST_PART, max(LEAST_PART, self.load / mean))
+            # By load, so that busy dispatchers don't run short while idle ones leave their tokens unused.
+            mean_load = max(MIN_WEIGHT, self.mean_busy_slots * len(self.ready) / s.dispatchers)
+            per_us *= LOAD_RATIO_MARGIN * min(MAX_LOAD_RATIO, max(MIN_LOAD_RATIO, self.load / mean_load))
         if worker.budget < 0 and not worker.budget_at:
             worker.budget = self.rng.random()
         else:
-            room = max(size, per_us * s.tip_window)
-            worker.budget = min(room, worker.budget + per_us * (self.now - worker.budget_at))
+            bucket = max(size, per_us * s.tip_window)
+            worker.budget = min(bucket, worker.budget + per_us * (self.now - worker.budget_at))
         worker.budget_at = self.now
         return worker.budget >= size and size <= max(1.0, planned)
 
-    def take(self, worker: Worker, slots: float) -> None:
-        """Note own slots taken or given back at a worker, against the next report."""
-        worker.held += slots
-        worker.deltas.append((self.now, slots))
-        worker.net += slots
+    def add_slots(self, worker: Worker, slots: float) -> None:
+        """Count slots that own attempts take, or give back if negative, until a report includes them."""
+        worker.own_slots += slots
+        worker.slot_changes.append((self.now, slots))
+        worker.unreported_slots += slots
 
-    def bound(self, job: Job) -> Attempt | None:
-        """The first attempt that may have run, if repeats must keep to its group."""
+    def binding_attempt(self, job: Job) -> Attempt | None:
+        """Return the first attempt of a keyed job that may have run; repeats must stay in its group."""
         if job.cls.effect is Effect.KEYED:
             for attempt in job.attempts:
-                if attempt.ran:
+                if attempt.may_have_run:
                     return attempt
         return None
 
-    def sleep(self, job: Job, until: int) -> None:
-        """Full Jitter: sleep random(0, min(cap, base * 2 ** attempt)), or answer at once if time is short."""
+    def back_off(self, job: Job, until: int) -> None:
+        """Wait random(0, min(cap, base * 2 ** attempt)) (Full Jitter); end the job if that is too long."""
         cap = job.cls.aim
-        limit = min(cap, BASE_OF_AIM * cap * 2 ** min(job.tries, 30))
-        job.tries += 1
+        limit = min(cap, BACKOFF_BASE_SHARE * cap * 2 ** min(job.backoffs, 30))
+        job.backoffs += 1
         wait = int(self.rng.random() * limit)
-        bound = self.bound(job)
-        if (
-            self.now + wait >= until
-            or len(job.attempts) >= job.most
-            or (bound is not None and self.now + wait >= bound.sent + job.cls.repeat_window)
-        ):
-            self.end(job)
+        bound = self.binding_attempt(job)
+        window_over = bound is not None and self.now + wait >= bound.sent_at + job.cls.repeat_window
+        if self.now + wait >= until or len(job.attempts) >= job.max_attempts or window_over:
+            self.end_unsuccessfully(job)
             return
-        self.token += 1
-        self.sleeping[self.token] = job
-        self.actions.append(api.SetTimer(wait, self.token))
-
-    def end(self, job: Job) -> None:
-        """The final answer: a refusal if nothing ran, else a failure."""
-        ran = any(a.ran for a in job.attempts)
-        # Guards against a surge that returns at once: the jam it met will not have passed.
+        self.last_token += 1
+        self.backing_off[self.last_token] = job
+        self.actions.append(api.SetTimer(wait, self.last_token))
+
+    def end_unsuccessfully(self, job: Job) -> None:
+        """Refuse the job if it surely has not run, else fail it."""
+        may_have_run = any(a.may_have_run for a in job.attempts)
+        # Clients that come back at once would meet the same overload, so they are advised to wait.
         advice = min(job.cls.aim, self.settings.max_retry_after)
-        self.actions.append(api.Fail(job.id) if ran else api.Refuse(job.id, advice))
+        self.actions.append(api.Fail(job.id) if may_have_run else api.Refuse(job.id, advice))
         self.close(job)
 
     def close(self, job: Job) -> None:
+        """Mark the job as answered, and forget it if no attempt is open."""
         job.ended = True
-        if not job.out:
+        if not job.open_count:
             self.jobs.pop(job.id, None)
 
     def on_expired(self, event: api.JobExpired) -> None:
+        """Close a job that no client waits for, and cancel its attempts to free their slots."""
         job = self.jobs.get(event.job)
         if job is not None:
-            if self.settings.cancels:  # guards the room of others: nobody waits for it any more
+            if self.settings.cancels:
                 self.actions += [
                     api.Cancel(job.id, a.index)
                     for a in job.attempts
-                    if not a.over and not (a.started and job.cls.effect is Effect.UNSAFE)
+                    if not a.ended and not (a.started_at and job.cls.effect is Effect.UNSAFE)
                 ]
             self.close(job)
 
     # Attempts
 
-    def find(self, job_id: int, index: int) -> Attempt | None:
+    def find_open_attempt(self, job_id: int, index: int) -> Attempt | None:
+        """Return the attempt; None if it has ended or its job is not known."""
         job = self.jobs.get(job_id)
         if job is None or index >= len(job.attempts):
             return None
         attempt = job.attempts[index]
-        return None if attempt.over else attempt
+        return None if attempt.ended else attempt
 
-    def alive(self, worker: Worker) -> None:
-        """Word from a worker clears the doubt that it is down."""
-        worker.heard = self.now
-        self.moved = self.moved or worker.ejections > 1
+    def mark_alive(self, worker: Worker) -> None:
+        """End the ejection of a worker that has responded, unless it rejects jobs or doesn't start them."""
+        worker.last_seen = self.now
+        self.subset_outdated = self.subset_outdated or worker.ejections > 1
         worker.ejections = 0
-        if not worker.shut and not worker.mute:
+        if not worker.rejections and not worker.start_timeouts:
             worker.ejected_until = 0
 
     def on_started(self, event: api.AttemptStarted) -> None:
-        attempt = self.find(event.job, event.attempt)
+        """Record how long a job has waited for its start."""
+        attempt = self.find_open_attempt(event.job, event.attempt)
         if attempt is not None:
-            worker, took = attempt.worker, self.now - attempt.sent
-            worker.shut = worker.mute = 0
-            worker.prompt = took if worker.prompt is None else min(worker.prompt, took)
-            self.waited(worker, took)
-            if attempt.modelled:
-                self.waits_modelled += BLEND * (attempt.modelled - self.waits_modelled)
-                self.waits_seen += BLEND * (took - self.waits_seen)
+            worker, wait = attempt.worker, self.now - attempt.sent_at
+            worker.rejections = worker.start_timeouts = 0
+            worker.fastest_start = wait if worker.fastest_start is None else min(worker.fastest_start, wait)
+            self.record_wait(worker, wait)
+            if attempt.expected_wait:
+                self.mean_wait_expected += EWMA_WEIGHT * (attempt.expected_wait - self.mean_wait_expected)
+                self.mean_wait_seen += EWMA_WEIGHT * (wait - self.mean_wait_seen)
             self.on_progress(event)
 
-    def waited(self, worker: Worker, wait: int) -> None:
-        worker.wait = wait
-        worker.wait_at = self.now
-        worker.longest = max(worker.longest, wait)
+    def record_wait(self, worker: Worker, wait: int) -> None:
+        """Record a queue wait, in us: of a job that started, did not start in time or was rejected."""
+        worker.last_wait = wait
+        worker.last_wait_at = self.now
+        worker.longest_wait = max(worker.longest_wait, wait)
 
     def on_progress(self, event: api.AttemptStarted | api.AttemptProgress | api.StreamBegan) -> None:
-        attempt = self.find(event.job, event.attempt)
+        """Record that an attempt runs; its start event may have been late or lost."""
+        attempt = self.find_open_attempt(event.job, event.attempt)
         if attempt is not None:
-            attempt.heard = self.now
-            if not attempt.started:  # the start note came late or was lost
-                attempt.started = self.now
-                self.held += attempt.job.slots
+            attempt.last_progress = self.now
+            if not attempt.started_at:
+                attempt.started_at = self.now
+                self.running_slots += attempt.job.slots
                 attempt.worker.unstarted.pop((event.job, event.attempt), None)
-            self.alive(attempt.worker)
+            self.mark_alive(attempt.worker)
 
     def on_ended(self, event: api.AttemptEnded) -> None:
-        attempt = self.find(event.job, event.attempt)
+        """Record the end of an attempt, then close the job or back off until its next attempt."""
+        attempt = self.find_open_attempt(event.job, event.attempt)
         if attempt is None:
             return
         worker, job, outcome = attempt.worker, attempt.job, event.outcome
-        attempt.over = True
-        attempt.ran = outcome not in PROVEN_NOT_RUN
+        attempt.ended = True
+        attempt.may_have_run = outcome not in PROVEN_NOT_RUN
         key = (job.id, attempt.index)
-        worker.out.pop(key, None)
+        worker.open_attempts.pop(key, None)
         worker.unstarted.pop(key, None)
-        self.take(worker, -job.slots)
-        job.out -= 1
-        self.held -= job.slots if attempt.started else 0
+        self.add_slots(worker, -job.slots)
+        job.open_count -= 1
+        self.running_slots -= job.slots if attempt.started_at else 0
         if event.report is not None:
-            self.learn(worker, event.report)
+            self.record_report(worker, event.report)
         if not (event.kept and outcome in (Outcome.CONNECT_FAILED, Outcome.RESET)):
-            # Guards live workers against doubt: a kept connection may end at any time.
-            self.judge(worker, attempt, outcome)
+            # A kept connection may end at any time, which says nothing about the worker's health.
+            self.record_outcome(worker, attempt, outcome)
         if event.final or job.ended:
             self.close(job)
         elif self.now >= job.deadline:
-            self.end(job)
-        elif not job.out:
-            if job.cls.effect is Effect.UNSAFE and attempt.ran:
-                self.end(job)
+            self.end_unsuccessfully(job)
+        elif not job.open_count:
+            if job.cls.effect is Effect.UNSAFE and attempt.may_have_run:
+                self.end_unsuccessfully(job)
             else:
-                self.sleep(job, job.deadline)
+                self.back_off(job, job.deadline)
 
-    def judge(self, worker: Worker, attempt: Attempt, outcome: Outcome) -> None:
-        """What an outcome says of its worker."""
+    def record_outcome(self, worker: Worker, attempt: Attempt, outcome: Outcome) -> None:
+        """Update the worker's health, and the running times, by the outcome of an attempt."""
         if outcome is Outcome.OK:
-            self.alive(worker)
-            worker.error_score *= 1 - FORGIVE
-            if attempt.started:
-                took = self.now - attempt.started
-                self.running += BLEND * (took - self.running)
-                if not self.cold(worker):
-                    self.work += BLEND * (took - self.work)
-                    if attempt.job.hint is not None:
-                        self.hinted += BLEND * (min(10.0, took / attempt.job.hint) - self.hinted)
-                run = self.class_run_times.get(attempt.job.cls.name, self.running)
-                self.class_run_times[attempt.job.cls.name] = run + BLEND * (took - run)
+            self.mark_alive(worker)
+            worker.error_score *= 1 - ERROR_RECOVERY
+            if attempt.started_at:
+                cls_name, hint, took = attempt.job.cls.name, attempt.job.hint, self.now - attempt.started_at
+                self.mean_run_time += EWMA_WEIGHT * (took - self.mean_run_time)
+                if not self.is_cold(worker):
+                    self.warm_run_time += EWMA_WEIGHT * (took - self.warm_run_time)
+                    if hint is not None:
+                        self.hint_ratio += EWMA_WEIGHT * (min(10.0, took / hint) - self.hint_ratio)
+                run_time = self.class_run_times.get(cls_name, self.mean_run_time)
+                self.class_run_times[cls_name] = run_time + EWMA_WEIGHT * (took - run_time)
         elif outcome is Outcome.FULL:
-            self.alive(worker)
-            if worker.free_slots is not None and worker.free_slots - worker.net + attempt.job.slots >= 1:
-                # Guards against workers that drain and are not yet listed so: room shown, nothing taken.
-                worker.shut += 1
-                worker.ejected_until = self.now + min(self.patience, self.tick_interval * 2**worker.shut)
+            self.mark_alive(worker)
+            free = worker.free_slots
+            if free is not None and free - worker.unreported_slots + attempt.job.slots >= 1:
+                # The worker may be draining before the list says so: it shows free slots and rejects jobs.
+                worker.rejections += 1
+                ejection = min(self.shortest_give_up, self.tick_interval * 2**worker.rejections)
+                worker.ejected_until = self.now + ejection
             worker.free_slots = 0.0
-            worker.deep = True
+            worker.queue_unknown = True
             worker.report_at = self.now
-            # A queue that overflows is as long as any seen there, and at least a job long.
-            self.waited(worker, max(worker.longest, int(self.running)))
+            # A queue that overflows is as long as any seen there, and at least one mean job.
+            self.record_wait(worker, max(worker.longest_wait, int(self.mean_run_time)))
         elif outcome is Outcome.ERROR:
-            self.alive(worker)
-            # An error on a job that has erred elsewhere is rather the job's.
-            if sum(1 for a in attempt.job.attempts if a.over and a.ran) < 2:
-                decayed = worker.error_score * 0.5 ** ((self.now - worker.blamed_at) / self.patience)
-                worker.error_score = decayed + 1
-                worker.blamed_at = self.now
+            self.mark_alive(worker)
+            # A job that has failed at another worker too is itself the likely cause.
+            if sum(1 for a in attempt.job.attempts if a.ended and a.may_have_run) < 2:
+                half_lives = (self.now - worker.error_score_at) / self.shortest_give_up
+                worker.error_score = worker.error_score * 0.5**half_lives + 1
+                worker.error_score_at = self.now
         elif outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
             self.eject(worker)
 
     def eject(self, worker: Worker) -> None:
-        """The worker seems down: hold back from it, longer each time, until word comes from it."""
-        hold = min(self.patience, self.tick_interval * 2**worker.ejections)
+        """Eject a worker that seems down until it responds, each time for twice as long, with jitter."""
+        ejection = min(self.shortest_give_up, self.tick_interval * 2**worker.ejections)
         worker.ejections += 1
-        self.moved = True
-        worker.ejected_until = self.now + int(hold * (1 + self.rng.random()))
+        self.subset_outdated = True
+        worker.ejected_until = self.now + int(ejection * (1 + self.rng.random()))
 
     # Reports and probes
 
-    def learn(self, worker: Worker, report: api.LoadReport) -> None:
+    def record_report(self, worker: Worker, report: api.LoadReport) -> None:
+        """Update the load of a worker by its report, and the averages over all workers."""
         free = report.free_slots
         if free is None:
             return
-        if not 0 <= free < 1e9:  # NaN and negative values leave the worker at the floor
+        if not 0 <= free < 1e9:  # NaN and negative values: the worker gets the floor weight
             worker.free_slots = None
             return
         if worker.last_report is not None:
             if report == worker.last_report:
-                return  # the same reading again: it is as old as when it was first seen
-            gap = self.now - worker.report_at
-            pace = BLEND if gap < self.gap else BLEND / 10
-            self.gap = gap if not self.gap else self.gap + pace * (gap - self.gap)
+                return  # the same reading again is as old as when it was first seen
+            interval, mean = self.now - worker.report_at, self.report_interval
+            pace = EWMA_WEIGHT if interval < mean else EWMA_WEIGHT / 10
+            self.report_interval = mean + pace * (interval - mean) if mean else interval
         worker.last_report = report
         worker.report_at = self.now
         queued = report.queued
-        if free < 1:  # jobs waiting stand before the next one
+        if free < 1:  # the jobs in the queue take their slots before the next one
             if queued is None and report.in_hand is not None:
                 queued = report.in_hand - worker.capacity
             free -= queued if queued is not None and 0 <= queued < 1e9 else 0
-        worker.deep = free < 1 and queued is None
+        worker.queue_unknown = free < 1 and queued is None
         worker.free_slots = free
         memory = report.free_memory
-        worker.memory = memory if memory is not None and 0 <= memory < 1e9 else None
-        own = sum(1 for attempt in worker.out.values() if attempt.started)
-        worker.capacity = max(worker.capacity, free, own)
-        self.mean_busy_slots += BLEND / 4 * (worker.capacity - max(0.0, free) - self.mean_busy_slots)
-        # A reading is old when it comes: what was pushed within its age may not be in it.
-        taken = self.now - min(self.gap, self.running) / 2
-        while worker.deltas and worker.deltas[0][0] <= taken:
-            worker.net -= worker.deltas.popleft()[1]
-        if not worker.deltas:
-            worker.net = 0.0
-        others = max(0.0, worker.capacity - worker.free_slots - (worker.held - worker.net))
-        worker.others += BLEND * (others - worker.others)
+        worker.free_memory = memory if memory is not None and 0 <= memory < 1e9 else None
+        started = sum(1 for attempt in worker.open_attempts.values() if attempt.started_at)
+        worker.capacity = max(worker.capacity, free, started)
+        self.mean_busy_slots += EWMA_WEIGHT / 4 * (worker.capacity - max(0.0, free) - self.mean_busy_slots)
+        # A report is some time old when it arrives: it may not include what was pushed within that time.
+        included = self.now - min(self.report_interval, self.mean_run_time) / 2
+        while worker.slot_changes and worker.slot_changes[0][0] <= included:
+            worker.unreported_slots -= worker.slot_changes.popleft()[1]
+        if not worker.slot_changes:
+            worker.unreported_slots = 0.0
+        others = max(0.0, worker.capacity - worker.free_slots - (worker.own_slots - worker.unreported_slots))
+        worker.other_slots += EWMA_WEIGHT * (others - worker.other_slots)
 
     def on_probe(self, event: api.ProbeEnded) -> None:
+        """Record the report of a probe, or eject the worker if it did not answer and was not seen since."""
         worker = self.workers.get(event.worker)
         if worker is None:
             return
         if event.outcome is Outcome.OK:
-            self.alive(worker)
+            self.mark_alive(worker)
             if event.report is not None:
-                self.learn(worker, event.report)
-        elif event.outcome is not Outcome.FULL and worker.ready and self.now - worker.heard > event.took:
+                self.record_report(worker, event.report)
+        elif event.outcome is not Outcome.FULL and worker.ready and self.now - worker.last_seen > event.took:
             self.eject(worker)
 
     def spend_probes(self) -> None:
-        """Ask the worker whose reading is oldest, where asking is allowed."""
-        while self.asks and self.ready and self.probe_credit >= 1:
-            oldest = min(self.subset or self.ready, key=lambda worker: worker.asked)
-            if self.now - oldest.asked < self.tick_interval / 2:
+        """Probe the workers whose last probe is oldest, as far as the credit lasts."""
+        while self.sends_probes and self.ready and self.probe_credit >= 1:
+            oldest = min(self.subset or self.ready, key=lambda worker: worker.probed_at)
+            if self.now - oldest.probed_at < self.tick_interval / 2:
                 return
             self.probe_credit -= 1
-            self.ask(oldest)
+            self.probe(oldest)
 
-    def ask(self, worker: Worker) -> None:
-        worker.asked = self.now
+    def probe(self, worker: Worker) -> None:
+        """Ask a worker for a load report."""
+        worker.probed_at = self.now
         self.actions.append(api.Probe(worker.id))
 
     # The worker list
 
     def on_list(self, event: api.WorkerList) -> None:
+        """Update the workers, or note that the subscription has failed."""
         if event.kind is api.ListKind.FAILED:
             self.subscribed = False
-            self.ask_fails += 1
-            self.plan_asking()
+            self.list_failures += 1
+            self.schedule_subscription()
             return
         if event.kind is api.ListKind.CACHED:
-            self.plan_asking()
+            self.schedule_subscription()
         else:
             self.subscribed = True
-            self.ask_fails = 0
-        named = {entry.worker for entry in event.entries} if event.kind is not api.ListKind.DELTA else None
+            self.list_failures = 0
+        listed = {entry.worker for entry in event.entries} if event.kind is not api.ListKind.DELTA else None
         joined = []
         for entry in event.entries:
             worker = self.workers.get(entry.worker)
@@ -727,90 +728,92 @@
                 joined.append(entry.worker)
             if worker is None:
                 worker = self.workers[entry.worker] = Worker(entry)
-                worker.rank = rank(worker.id, self.settings.me)
+                worker.distance = rendezvous_distance(worker.id, self.settings.me)
             elif entry.started != worker.started:
                 worker.reset(entry)
             worker.update(entry)
-        if named is not None:
+        if listed is not None:
             for worker in self.workers.values():
-                if worker.id not in named:
+                if worker.id not in listed:
                     worker.ready = False
         self.ready = [w for w in self.workers.values() if w.ready]
-        self.keep_near()
-        for name in joined if self.asks else ():
-            # Guards a worker that starts against probes of all dispatchers of a large fleet at once.
+        self.choose_subset()
+        for name in joined if self.sends_probes else ():
+            # Only its subset: all dispatchers of a large fleet at once would be too many for a new worker.
             if self.workers[name] in self.subset:
-                self.ask(self.workers[name])
-        if not self.ticking:
-            self.ticking = True
+                self.probe(self.workers[name])
+        if not self.tick_armed:
+            self.tick_armed = True
             self.actions.append(api.SetTimer(1 + int(self.rng.random() * self.tick_interval), TICK_TOKEN))
 
-    def keep_near(self) -> None:
-        """Choose the workers to keep to: all of a small fleet, a few of a large one."""
-        self.moved = False
+    def choose_subset(self) -> None:
+        """Choose the workers to push jobs to: all of a small fleet, the nearest few of a large one."""
+        self.subset_outdated = False
         self.subset = self.ready
         if len(self.ready) > 3 * MIN_SUBSET_SIZE:
-            # Guards against the time that a large fleet takes, and against knowing too little of too many.
-            order = sorted((w for w in self.ready if w.ejections < 2), key=lambda worker: worker.rank)
-            home = [w for w in order if w.zone == self.settings.zone][: 3 * self.width // 4]
-            far = [w for w in order if w not in home]
-            self.subset = home + far[: self.width - len(home)]
-
-    def plan_asking(self) -> None:
-        """When to subscribe next: spread at random, and later after each failure."""
+            # Weighing a whole large fleet takes too long, and too little would be known of each worker.
+            order = sorted((w for w in self.ready if w.ejections < 2), key=lambda worker: worker.distance)
+            local = [w for w in order if w.zone == self.settings.zone][: 3 * self.subset_size // 4]
+            remote = [w for w in order if w not in local]
+            self.subset = local + remote[: self.subset_size - len(local)]
+
+    def schedule_subscription(self) -> None:
+        """Set the time of the next subscription to the list, at random and later after each failure."""
         if self.settings.list_on_request and not self.subscribed:
-            share = self.rng.random() * min(2.0, 2.0**self.ask_fails / 4)
-            span = self.settings.ask_every * share
-            if self.ask_fails == 1:
-                # Guards the drain rule: what was told as a watch broke may be lost, and its grace is short.
-                span = min(span, share * self.settings.drain_grace / 2)
-            self.ask_at = self.now + int(span)
+            share = self.rng.random() * min(2.0, 2.0**self.list_failures / 4)
+            delay = self.settings.ask_every * share
+            if self.list_failures == 1:
+                # The start of a drain may be lost as the watch breaks, and the grace of a drain is short.
+                delay = min(delay, share * self.settings.drain_grace / 2)
+            self.subscribe_at = self.now + int(delay)
 
     # Time
 
     def on_timer(self, event: api.TimerFired) -> None:
+        """End a backoff, look at an overdue start, or do the periodic checks."""
         if event.token != TICK_TOKEN:
-            job = self.sleeping.pop(event.token, None)
+            job = self.backing_off.pop(event.token, None)
             if job is not None and not job.ended:
                 self.place(job)
-            attempt = self.unsure.pop(event.token, None)
+            attempt = self.start_timers.pop(event.token, None)
             if attempt is not None:
-                self.reconsider(attempt)
+                self.on_start_overdue(attempt)
             return
         self.actions.append(api.SetTimer(self.tick_interval, TICK_TOKEN))
-        if not self.subscribed and self.now >= self.ask_at:
+        if not self.subscribed and self.now >= self.subscribe_at:
             self.actions.append(api.Subscribe(True))
-            self.ask_at = self.now + self.settings.ask_every // 2
-        # Guards a submitter far busier than others: others fill its workers too, so it keeps to two for each
-        # job that it has running.
-        width = min(3 * MIN_SUBSET_SIZE, max(MIN_SUBSET_SIZE, int(2 * self.load)))
-        if abs(width - self.width) > self.width / 4:
-            self.width, self.moved = width, True
-        if self.moved and self.subset is not self.ready:
-            self.keep_near()  # guards against keeping to the dead: the list may tell of them very late
+            self.subscribe_at = self.now + self.settings.ask_every // 2
+        # Other dispatchers fill the subset's workers too, so one far busier than they are uses two workers
+        # for each slot that its own jobs take.
+        size = min(3 * MIN_SUBSET_SIZE, max(MIN_SUBSET_SIZE, int(2 * self.load)))
+        if abs(size - self.subset_size) > self.subset_size / 4:
+            self.subset_size, self.subset_outdated = size, True
+        if self.subset_outdated and self.subset is not self.ready:
+            self.choose_subset()  # without workers found down, which the list may show as ready for long
         for worker in self.ready:
-            if worker.out:
-                self.check(worker)
+            if worker.open_attempts:
+                self.check_progress(worker)
             if worker.ejections and worker.ejected_until <= self.now and self.settings.probes:
                 self.eject(worker)
-                self.ask(worker)
+                self.probe(worker)
 
-    def check(self, worker: Worker) -> None:
-        """Doubt a worker whose running jobs have fallen silent, and take back what may be repeated."""
-        progress = self.settings.progress
-        if not progress:
+    def check_progress(self, worker: Worker) -> None:
+        """Eject a worker whose running jobs report no progress, and cancel those that may be repeated."""
+        if not self.settings.progress:
             return
-        patience = MISSED_NOTES * progress
-        if any(a.started and self.now - a.heard > patience for a in worker.out.values()):
+        timeout = MISSED_PROGRESS * self.settings.progress
+        if any(a.started_at and self.now - a.last_progress > timeout for a in worker.open_attempts.values()):
             if not worker.ejections:
                 self.eject(worker)
         elif worker.ejections < 2:
-            first = next(iter(worker.out.values()))
-            if self.now - max(worker.heard, first.sent) > patience and self.settings.probes:
-                self.ask(worker)  # queued, heavy and lost jobs look alike: ask whether anybody is there
+            first = next(iter(worker.open_attempts.values()))
+            if self.now - max(worker.last_seen, first.sent_at) > timeout and self.settings.probes:
+                self.probe(
+                    worker
+                )  # queued, heavy and lost jobs look alike; a probe shows whether it responds
             return
         if self.settings.cancels:
-            for attempt in worker.out.values():
+            for attempt in worker.open_attempts.values():
                 job = attempt.job
                 if not job.ended and job.cls.effect is not Effect.UNSAFE:
                     self.actions.append(api.Cancel(job.id, attempt.index))
--- a/pulleyroute/snapshot.py
+++ b/pulleyroute/snapshot.py
@@ -22,54 +22,54 @@
 # Attribute -> key. Processes of other versions read the keys: their names, set and order must not change.
 _ESTIMATE_KEYS: Keys = {
     "mean_busy_slots": "busy",
-    "gap": "gap",
+    "report_interval": "gap",
     "load": "load",
     "probe_credit": "probe_credit",
-    "running": "running",
+    "mean_run_time": "running",
     "class_run_times": "runs",
-    "tight": "tight",
-    "waits_modelled": "waits_modelled",
-    "waits_seen": "waits_seen",
+    "zone_saturation": "tight",
+    "mean_wait_expected": "waits_modelled",
+    "mean_wait_seen": "waits_seen",
 }
 _WORKER_KEYS: Keys = {
     "error_score": "blame",
     "budget": "budget",
-    "deep": "deep",
+    "queue_unknown": "deep",
     "free_slots": "free",
     "ejections": "holds",
-    "longest": "longest",
-    "memory": "memory",
+    "longest_wait": "longest",
+    "free_memory": "memory",
     "capacity": "most",
-    "mute": "mute",
-    "others": "others",
-    "prompt": "prompt",
-    "shut": "shut",
-    "wait": "wait",
+    "start_timeouts": "mute",
+    "other_slots": "others",
+    "fastest_start": "prompt",
+    "rejections": "shut",
+    "last_wait": "wait",
 }
 _WORKER_TIME_KEYS: Keys = {
-    "asked": "asked",
-    "blamed_at": "blamed_at",
+    "probed_at": "asked",
+    "error_score_at": "blamed_at",
     "budget_at": "budget_at",
     "ejected_until": "down_until",
-    "heard": "heard",
+    "last_seen": "heard",
     "report_at": "report_at",
     "started": "started",
-    "wait_at": "wait_at",
+    "last_wait_at": "wait_at",
 }
 _JOB_KEYS: Keys = {
     "deadline": "deadline",
     "useful_until": "useful_until",
     "slots": "slots",
     "memory": "memory",
-    "tries": "tries",
+    "backoffs": "tries",
 }
-_ATTEMPT_KEYS: Keys = {"over": "over", "ran": "ran", "modelled": "modelled"}
-_ATTEMPT_TIME_KEYS: Keys = {"heard": "heard", "sent": "sent", "started": "started"}
+_ATTEMPT_KEYS: Keys = {"ended": "over", "may_have_run": "ran", "expected_wait": "modelled"}
+_ATTEMPT_TIME_KEYS: Keys = {"last_progress": "heard", "sent_at": "sent", "started_at": "started"}
 
 
 def pack_estimates(rules: Dispatcher) -> Values:
     """Return the dispatcher-wide estimates; `pack_worker` returns those of one worker."""
-    first_try_times = [[name, give_up, span] for (name, give_up), span in rules.full_time.items()]
+    first_try_times = [[name, give_up, span] for (name, give_up), span in rules.first_try_time.items()]
     return {**_read(rules, _ESTIMATE_KEYS), "full_time": first_try_times}
 
 
@@ -78,7 +78,7 @@
     # Versions that kept no mean of busy slots send no "busy": the receiver's own value stays, and an upgrade
     # from such a version still transfers all other estimates.
     _write(rules, {"busy": rules.mean_busy_slots, **values}, _ESTIMATE_KEYS)
-    rules.full_time.update({(name, give_up): span for name, give_up, span in values["full_time"]})
+    rules.first_try_time.update({(name, give_up): span for name, give_up, span in values["full_time"]})
 
 
 def pack_worker(worker: Worker) -> Values:
@@ -129,10 +129,10 @@
     deadline = values["deadline"] + shift
     event = api.JobArrived(number, 0, deadline - now, values["slots"], values["memory"])
     job = Job(event, replace(rules.settings, classes=[cls], max_attempts=max_attempts), now)
-    job.useful_until, job.tries = values["useful_until"] + shift, values["tries"]
+    job.useful_until, job.backoffs = values["useful_until"] + shift, values["tries"]
     rules.jobs[number] = job
     kind = cls.name, cls.give_up
-    rules.full_time[kind] = max(rules.full_time.get(kind, 0), deadline - now)
+    rules.first_try_time[kind] = max(rules.first_try_time.get(kind, 0), deadline - now)
     for index, packed in enumerate(values["attempts"]):
         name = packed["worker"].encode()
         worker = rules.workers.get(name)
@@ -143,7 +143,7 @@
         for attribute, key in _ATTEMPT_TIME_KEYS.items():
             setattr(attempt, attribute, _shifted(packed[key], shift))
         job.attempts.append(attempt)
-        if not attempt.over:
+        if not attempt.ended:
             _add_open_attempt(rules, job, attempt)
     return rules.actions
 
@@ -151,17 +151,17 @@
 def _add_open_attempt(rules: Dispatcher, job: Job, attempt: Attempt) -> None:
     """Count the slots of an attempt that has not ended."""
     worker, key = attempt.worker, (job.id, attempt.index)
-    job.out += 1
-    worker.out[key] = attempt
-    rules.take(worker, job.slots)
-    if attempt.sent <= worker.report_at - min(rules.gap, rules.running) / 2:
+    job.open_count += 1
+    worker.open_attempts[key] = attempt
+    rules.add_slots(worker, job.slots)
+    if attempt.sent_at <= worker.report_at - min(rules.report_interval, rules.mean_run_time) / 2:
         # The transferred load report already includes this attempt.
-        worker.net -= worker.deltas.pop()[1]
-    if attempt.started:
-        rules.held += job.slots
+        worker.unreported_slots -= worker.slot_changes.pop()[1]
+    if attempt.started_at:
+        rules.running_slots += job.slots
     else:
         worker.unstarted[key] = attempt
-        rules.expect_start(attempt)
+        rules.arm_start_timer(attempt)
 
 
 def pack_class(cls: api.JobClass) -> Values:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -239,10 +239,10 @@
     while not of(Push, (told := bench.job())[1]):
         bench.now += SECOND // 10
     bench.tell(AttemptStarted(told[0], 0, b"cold"))
-    before = bench.dispatcher.work
+    before = bench.dispatcher.warm_run_time
     bench.now += 5 * SECOND
     bench.tell(AttemptEnded(told[0], 0, b"cold", Outcome.OK, True))
-    assert bench.dispatcher.work == before and bench.dispatcher.running > before
+    assert bench.dispatcher.warm_run_time == before and bench.dispatcher.mean_run_time > before
 
 
 @pytest.mark.parametrize("hint", [0, -5, 2**31, None])
@@ -335,7 +335,7 @@
             bench.now += apart
             bench.tell(ProbeEnded(b"a", Outcome.OK, report=LoadReport(free_slots=free)))
         job = Job(JobArrived(99, SAFE, 9 * SECOND), bench.dispatcher.settings, bench.now)
-        rooms.append(bench.dispatcher.room(bench.dispatcher.workers[b"a"], job))
+        rooms.append(bench.dispatcher.available_slots(bench.dispatcher.workers[b"a"], job))
     assert rooms[0] > 7 and rooms[1] < 4
 
 
@@ -369,16 +369,16 @@
 def test_waits_longer_than_modelled_hold_pushes_back():
     # Failure: others' jobs stood in line unseen, and waits were three times those reckoned with.
     bench = Bench([ready(b"a"), ready(b"b")])
-    before = bench.dispatcher.waits_seen / bench.dispatcher.waits_modelled
+    before = bench.dispatcher.mean_wait_seen / bench.dispatcher.mean_wait_expected
     for _ in range(10):
         job, actions = bench.job()
         if of(Push, actions):
             attempt = bench.dispatcher.jobs[job].attempts[0]
-            attempt.modelled = SECOND // 10
+            attempt.expected_wait = SECOND // 10
             bench.now += SECOND
             bench.tell(AttemptStarted(job, 0, pushed(actions)))
             bench.tell(AttemptEnded(job, 0, pushed(actions), Outcome.OK, True))
-    assert bench.dispatcher.waits_seen / bench.dispatcher.waits_modelled > 2 * before
+    assert bench.dispatcher.mean_wait_seen / bench.dispatcher.mean_wait_expected > 2 * before
 
 
 def test_a_worker_that_shows_room_and_turns_jobs_away_is_held_back_from():
@@ -392,7 +392,7 @@
     bench.now += 20 * SECOND
     job, actions = bench.job()
     bench.tell(AttemptStarted(job, 0, pushed(actions)))
-    assert bench.dispatcher.workers[b"drains"].shut == 0
+    assert bench.dispatcher.workers[b"drains"].rejections == 0
 
 
 def test_only_workers_of_the_classs_kind_run_it():
@@ -437,7 +437,9 @@
     bench = Bench(FLEET, peer_messages=True, dispatchers=40)
     worker = pushed(bench.job()[1])
     told = {tell.peer for tell in of(SendToPeer, bench.log)}
-    keep = {d.settings.me for d in fleet if any(w.id == worker and w.rank * 200 < 8 for w in d.subset)} - {0}
+    keep = {
+        d.settings.me for d in fleet if any(w.id == worker and w.distance * 200 < 8 for w in d.subset)
+    } - {0}
     assert told == keep
 
 
@@ -510,7 +512,7 @@
                 reading(bench, b"cold", free_slots=self.told[step] + step / 1e6)
                 bench.dispatcher.mean_busy_slots = 1.0  # as the readings of the others say
                 worker = bench.dispatcher.workers[b"cold"]
-                if bench.dispatcher.affordable(worker, self.share(age), 1.0):
+                if bench.dispatcher.within_budget(worker, self.share(age), 1.0):
                     worker.budget -= 1
                     self.times.append(age)
                     self.backlog += 1
@@ -644,15 +646,18 @@
     bench = Bench([ready(b"home", zone=0), ready(b"away", zone=1)], zone=0, price_cross_zone=0.2)
     dispatcher = bench.dispatcher
     dispatcher.class_run_times = {"safe": SECOND, "unsafe": 6 * SECOND}
-    assert dispatcher.homing(CLASSES[SAFE]) == dispatcher.homing(CLASSES[UNSAFE]) == 1.0
+    assert dispatcher.zone_preference(CLASSES[SAFE]) == dispatcher.zone_preference(CLASSES[UNSAFE]) == 1.0
     reported(bench, home=0.0, away=8.0)
     for _ in range(8):
         bench.job(UNSAFE)
-    assert dispatcher.homing(CLASSES[UNSAFE]) == 0.0 and dispatcher.homing(CLASSES[SAFE]) == 1.0
+    assert (
+        dispatcher.zone_preference(CLASSES[UNSAFE]) == 0.0
+        and dispatcher.zone_preference(CLASSES[SAFE]) == 1.0
+    )
     reported(bench, home=8.0)
-    tight = dispatcher.tight
+    tight = dispatcher.zone_saturation
     bench.job(UNSAFE)
-    assert dispatcher.tight < tight
+    assert dispatcher.zone_saturation < tight
 
 
 def test_a_worker_gets_a_job_again_only_if_it_surely_has_not_run_there():
@@ -675,13 +680,13 @@
     (worker,), job = dispatcher.ready, dispatcher.jobs[lost]
     bench.run(SECOND // 2)
     dispatcher.now = bench.now
-    assert dispatcher.room(worker, job) <= 0  # as far as is known it queues
+    assert dispatcher.available_slots(worker, job) <= 0  # as far as is known it queues
     for free in (2.0, 2.1, 2.2, 2.3, 2.4):
         bench.run(SECOND)
         reported(bench, w=free)
-    assert dispatcher.room(worker, job) > 1
+    assert dispatcher.available_slots(worker, job) > 1
     reported(bench, w=0.0)
-    assert dispatcher.room(worker, job) <= 0  # full: it may stand in a queue after all
+    assert dispatcher.available_slots(worker, job) <= 0  # full: it may stand in a queue after all
 
 
 def test_after_a_broken_watch_the_list_is_asked_for_within_the_grace_of_a_drain_and_then_ever_later():
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -77,46 +77,46 @@
 # The attribute that holds the value of each key.
 GENERAL_ATTRIBUTES = {
     "busy": "mean_busy_slots",
-    "gap": "gap",
+    "gap": "report_interval",
     "load": "load",
     "probe_credit": "probe_credit",
-    "running": "running",
+    "running": "mean_run_time",
     "runs": "class_run_times",
-    "tight": "tight",
-    "waits_modelled": "waits_modelled",
-    "waits_seen": "waits_seen",
+    "tight": "zone_saturation",
+    "waits_modelled": "mean_wait_expected",
+    "waits_seen": "mean_wait_seen",
 }
 WORKER_ATTRIBUTES = {
     "blame": "error_score",
     "budget": "budget",
-    "deep": "deep",
+    "deep": "queue_unknown",
     "free": "free_slots",
     "holds": "ejections",
-    "longest": "longest",
-    "memory": "memory",
+    "longest": "longest_wait",
+    "memory": "free_memory",
     "most": "capacity",
-    "mute": "mute",
-    "others": "others",
-    "prompt": "prompt",
-    "shut": "shut",
-    "wait": "wait",
+    "mute": "start_timeouts",
+    "others": "other_slots",
+    "prompt": "fastest_start",
+    "shut": "rejections",
+    "wait": "last_wait",
 }
 WORKER_TIME_ATTRIBUTES = {
-    "asked": "asked",
-    "blamed_at": "blamed_at",
+    "asked": "probed_at",
+    "blamed_at": "error_score_at",
     "budget_at": "budget_at",
     "down_until": "ejected_until",
-    "heard": "heard",
+    "heard": "last_seen",
     "report_at": "report_at",
-    "wait_at": "wait_at",
+    "wait_at": "last_wait_at",
 }
 JOB_ATTRIBUTES = {
     "slots": "slots",
     "memory": "memory",
-    "tries": "tries",
+    "tries": "backoffs",
 }
-ATTEMPT_ATTRIBUTES = {"over": "over", "ran": "ran", "modelled": "modelled"}
-ATTEMPT_TIME_ATTRIBUTES = {"heard": "heard", "sent": "sent", "started": "started"}
+ATTEMPT_ATTRIBUTES = {"over": "ended", "ran": "may_have_run", "modelled": "expected_wait"}
+ATTEMPT_TIME_ATTRIBUTES = {"heard": "last_progress", "sent": "sent_at", "started": "started_at"}
 
 
 def push_until(bench, worker, job_class):
@@ -202,7 +202,7 @@
     rules, general, shift = receiver(), json.loads(GENERAL), 7_000
     snapshot.restore_estimates(rules, general)
     assert attributes(rules, GENERAL_ATTRIBUTES) == [general[key] for key in GENERAL_ATTRIBUTES]
-    assert rules.full_time == {(name, 10 * SECOND): 10 * SECOND for name in ("safe", "keyed", "unsafe")}
+    assert rules.first_try_time == {(name, 10 * SECOND): 10 * SECOND for name in ("safe", "keyed", "unsafe")}
     for text in WORKERS:
         values = json.loads(text)
         snapshot.restore_worker(rules, values, shift)
