--- a/pulleyroute/wire.py
+++ b/pulleyroute/wire.py
@@ -1,4 +1,4 @@
-"""The codec of the wire: bytes to events, actions to bytes. No decisions, no input or output."""
+"""The codec of the simulator's wire protocol: bytes to events, actions to bytes. No I/O and no decisions."""
 
 from __future__ import annotations
 
@@ -43,12 +43,12 @@
 
 
 class WireError(Exception):
-    """Something on the wire, or in the settings it carries, is malformed; the text names it."""
+    """A batch, or the settings in it, is malformed; the message says where."""
 
 
 @dataclass(slots=True)
 class Begin:
-    """A dispatcher comes up."""
+    """A dispatcher starts."""
 
     seed: int
     settings: Settings
@@ -57,18 +57,18 @@
 
 @dataclass(slots=True)
 class Halt:
-    """A dispatcher dies."""
+    """A dispatcher stops."""
 
 
 BATCH_HEADER = Struct("<IIQ")
 REPLY_HEADER = Struct("<II")
-BANKS = 16
-ALL_PEERS = 0xFFFF
-ARM_LIMIT = 0xFFFFFFFF
-TEXT_LIMIT = 0xFFFF
+LIST_COUNT = 16  # worker lists that a decoder keeps, by number
+ALL_PEERS = 0xFFFF  # receiver of a message to all dispatchers
+TIMER_LIMIT = 0xFFFFFFFF  # microseconds
+TEXT_LIMIT = 0xFFFF  # bytes
 
-_HINTED, _REPEAT = 1, 2
-_NOTE_STARTED, _NOTE_PROGRESS = 1, 2
+_HAS_HINT, _IS_REPEAT = 1, 2  # bits of a job's options
+_KIND_STARTED, _KIND_PROGRESS = 1, 2  # of an attempt's note
 
 _OUTCOMES = {
     0: Outcome.OK,
@@ -83,194 +83,200 @@
 _LIST_KINDS = {int(kind): kind for kind in ListKind}
 _STATES = {int(state): state for state in WorkerState}
 
-_SUBMIT = Struct("<HQBIfHIfQH")
-_NOTE = Struct("<HQH6sBf")
-_SHEET = Struct("<HI")
+_JOB = Struct("<HQBIfHIfQH")
+_ATTEMPT_NOTE = Struct("<HQH6sBf")
+_LIST_HEAD = Struct("<HI")
 _ENTRY = Struct("<6sHQfHHB")
-_TARGETS = Struct("<HIBH")
-_WAKEUP = Struct("<HI")
-_STREAM = Struct("<HQH6sI")
+_LIST_UPDATE = Struct("<HIBH")
+_TIMER = Struct("<HI")
+_STREAM_BEGAN = Struct("<HQH6sI")
 _HALT = Struct("<H")
-_RETURNED = Struct("<HQIBBHI6sB")
+_ATTEMPT_ENDED = Struct("<HQIBBHI6sB")
 _BEGIN = Struct("<HQI")
-_MAIL = Struct("<HHH")
-_PROBED = Struct("<H6sBIB")
+_PEER_MESSAGE = Struct("<HHH")
+_PROBE_ENDED = Struct("<H6sBIB")
 _EXPIRED = Struct("<HQ")
-_FLOATS = [Struct(f"<{n}f") for n in range(256)]
+_FLOATS = [Struct(f"<{count}f") for count in range(256)]
 
-_PASS_ON = Struct("<BHQ6sQ")
-_OVERLOAD_REPLY = Struct("<BHQI")
-_GIVE_UP = Struct("<BHQ")
-_CALL_OFF = Struct("<BHQH")
-_ARM = Struct("<BHII")
+_PUSH = Struct("<BHQ6sQ")
+_REFUSE = Struct("<BHQI")
+_FAIL = Struct("<BHQ")
+_CANCEL = Struct("<BHQH")
+_SET_TIMER = Struct("<BHII")
 _PROBE = Struct("<BH6s")
-_SHARE = Struct("<BHHH")
+_SEND_TO_PEER = Struct("<BHHH")
 _TEXT = Struct("<BHH")
-_TAIL = Struct("<BHB")
-_GET_LIST = Struct("<BH")
+_SUBSCRIBE = Struct("<BHB")
+_FETCH_LIST = Struct("<BH")
 
 
 class Decoder:
-    """Turns batches into (instance, event) pairs; keeps the list banks and each instance's report fields."""
+    """Decodes batches to (instance, event) pairs; keeps worker lists, and report fields of each instance."""
 
     def __init__(self) -> None:
-        self._banks: dict[int, list[Entry]] = {}
+        self._lists: dict[int, list[Entry]] = {}
         self._fields: dict[int, tuple[str | None, ...]] = {}
 
     def batch(self, count: int, body: bytes) -> list[tuple[int, Event | Begin | Halt]]:
-        """Decode the `count` records of one batch."""
-        out: list[tuple[int, Event | Begin | Halt]] = []
-        at = 0
+        """Decode the `count` records of one batch; raises `WireError`."""
+        events: list[tuple[int, Event | Begin | Halt]] = []
+        offset = 0
         code = -1
         try:
             for _ in range(count):
-                code = body[at]
+                code = body[offset]
                 reader = _READERS.get(code)
                 if reader is None:
-                    raise WireError(f"unknown record code {code} at byte {at}")
-                at = reader(self, body, at + 1, out)
+                    raise WireError(f"unknown record code {code} at byte {offset}")
+                offset = reader(self, body, offset + 1, events)
         except (struct_error, IndexError):
-            raise WireError(f"truncated record of code {code} at byte {at}") from None
-        if at != len(body):
-            raise WireError(f"{len(body) - at} bytes left over after {count} records")
-        return out
-
-    def _report(self, instance: int, body: bytes, at: int, n: int) -> tuple[LoadReport | None, int]:
-        if not n:
-            return None, at
-        values = _FLOATS[n].unpack_from(body, at)
+            raise WireError(f"truncated record of code {code} at byte {offset}") from None
+        if offset != len(body):
+            raise WireError(f"{len(body) - offset} bytes left over after {count} records")
+        return events
+
+    def _report(self, instance: int, body: bytes, offset: int, count: int) -> tuple[LoadReport | None, int]:
+        if not count:
+            return None, offset
+        values = _FLOATS[count].unpack_from(body, offset)
         report = LoadReport()
         for name, value in zip(self._fields.get(instance, ()), values, strict=False):
             if name is not None:
                 setattr(report, name, value)
-        return report, at + 4 * n
+        return report, offset + 4 * count
 
-    def _submit(self, body: bytes, at: int, out: list[Any]) -> int:
-        inst, job, cls, left, mem, tenant, hint, slots, key, opts = _SUBMIT.unpack_from(body, at)
-        out.append(
+    def _job(self, body: bytes, offset: int, events: list[Any]) -> int:
+        instance, job, cls, time_left, memory, tenant, hint, slots, key, options = _JOB.unpack_from(
+            body, offset
+        )
+        events.append(
             (
-                inst,
+                instance,
                 JobArrived(
                     job,
                     cls,
-                    left,
+                    time_left,
                     slots,
-                    mem,
+                    memory,
                     tenant,
-                    hint if opts & _HINTED else None,
+                    hint if options & _HAS_HINT else None,
                     key,
-                    bool(opts & _REPEAT),
+                    bool(options & _IS_REPEAT),
                 ),
             )
         )
-        return at + _SUBMIT.size
-
-    def _note(self, body: bytes, at: int, out: list[Any]) -> int:
-        inst, job, attempt, worker, kind, value = _NOTE.unpack_from(body, at)
-        if kind == _NOTE_STARTED:
-            out.append((inst, AttemptStarted(job, attempt, worker)))
-        elif kind == _NOTE_PROGRESS:
-            out.append((inst, AttemptProgress(job, attempt, worker, value)))
-        return at + _NOTE.size
-
-    def _sheet(self, body: bytes, at: int, out: list[Any]) -> int:
-        bank, count = _SHEET.unpack_from(body, at)
-        at += _SHEET.size
-        if bank >= BANKS:
-            raise WireError(f"list number {bank} is not below {BANKS}")
-        if at + count * _ENTRY.size > len(body):
+        return offset + _JOB.size
+
+    def _attempt_note(self, body: bytes, offset: int, events: list[Any]) -> int:
+        instance, job, attempt, worker, kind, value = _ATTEMPT_NOTE.unpack_from(body, offset)
+        if kind == _KIND_STARTED:
+            events.append((instance, AttemptStarted(job, attempt, worker)))
+        elif kind == _KIND_PROGRESS:
+            events.append((instance, AttemptProgress(job, attempt, worker, value)))
+        return offset + _ATTEMPT_NOTE.size
+
+    def _store_list(self, body: bytes, offset: int, events: list[Any]) -> int:
+        list_number, count = _LIST_HEAD.unpack_from(body, offset)
+        offset += _LIST_HEAD.size
+        if list_number >= LIST_COUNT:
+            raise WireError(f"list number {list_number} is not below {LIST_COUNT}")
+        if offset + count * _ENTRY.size > len(body):
             raise struct_error
         entries = []
         for _ in range(count):
-            worker, kind, started, size, cell, zone, state = _ENTRY.unpack_from(body, at)
-            known = _known(_STATES, state, "worker state")
-            entries.append(Entry(worker, known, kind, started, size, cell, zone))
-            at += _ENTRY.size
-        self._banks[bank] = entries
-        return at
-
-    def _targets(self, body: bytes, at: int, out: list[Any]) -> int:
-        inst, version, kind, bank = _TARGETS.unpack_from(body, at)
-        list_kind = _known(_LIST_KINDS, kind, "list kind")
+            worker, kind, started, size, cell, zone, state = _ENTRY.unpack_from(body, offset)
+            worker_state = _lookup(_STATES, state, "worker state")
+            entries.append(Entry(worker, worker_state, kind, started, size, cell, zone))
+            offset += _ENTRY.size
+        self._lists[list_number] = entries
+        return offset
+
+    def _list_update(self, body: bytes, offset: int, events: list[Any]) -> int:
+        instance, version, kind, list_number = _LIST_UPDATE.unpack_from(body, offset)
+        list_kind = _lookup(_LIST_KINDS, kind, "list kind")
         entries: list[Entry] = []
         if list_kind is not ListKind.FAILED:
-            entries = _known(self._banks, bank, "list number")
-        out.append((inst, WorkerList(version, list_kind, entries)))
-        return at + _TARGETS.size
-
-    def _wakeup(self, body: bytes, at: int, out: list[Any]) -> int:
-        inst, token = _WAKEUP.unpack_from(body, at)
-        out.append((inst, TimerFired(token)))
-        return at + _WAKEUP.size
-
-    def _stream(self, body: bytes, at: int, out: list[Any]) -> int:
-        inst, job, attempt, worker, _ = _STREAM.unpack_from(body, at)
-        out.append((inst, StreamBegan(job, attempt, worker)))
-        return at + _STREAM.size
-
-    def _halt(self, body: bytes, at: int, out: list[Any]) -> int:
-        out.append((_HALT.unpack_from(body, at)[0], Halt()))
-        return at + _HALT.size
-
-    def _returned(self, body: bytes, at: int, out: list[Any]) -> int:
-        inst, job, lag, final, verdict, attempt, _, worker, n = _RETURNED.unpack_from(body, at)
-        report, end = self._report(inst, body, at + _RETURNED.size, n)
-        outcome = _known(_OUTCOMES, verdict, "outcome code")
-        out.append((inst, AttemptEnded(job, attempt, worker, outcome, bool(final), lag, report)))
+            entries = _lookup(self._lists, list_number, "list number")
+        events.append((instance, WorkerList(version, list_kind, entries)))
+        return offset + _LIST_UPDATE.size
+
+    def _timer(self, body: bytes, offset: int, events: list[Any]) -> int:
+        instance, token = _TIMER.unpack_from(body, offset)
+        events.append((instance, TimerFired(token)))
+        return offset + _TIMER.size
+
+    def _stream_began(self, body: bytes, offset: int, events: list[Any]) -> int:
+        instance, job, attempt, worker, _ = _STREAM_BEGAN.unpack_from(body, offset)
+        events.append((instance, StreamBegan(job, attempt, worker)))
+        return offset + _STREAM_BEGAN.size
+
+    def _halt(self, body: bytes, offset: int, events: list[Any]) -> int:
+        events.append((_HALT.unpack_from(body, offset)[0], Halt()))
+        return offset + _HALT.size
+
+    def _attempt_ended(self, body: bytes, offset: int, events: list[Any]) -> int:
+        instance, job, took, final, outcome_code, attempt, _, worker, count = _ATTEMPT_ENDED.unpack_from(
+            body, offset
+        )
+        report, end = self._report(instance, body, offset + _ATTEMPT_ENDED.size, count)
+        outcome = _lookup(_OUTCOMES, outcome_code, "outcome code")
+        events.append((instance, AttemptEnded(job, attempt, worker, outcome, bool(final), took, report)))
         return end
 
-    def _begin(self, body: bytes, at: int, out: list[Any]) -> int:
-        inst, seed, n = _BEGIN.unpack_from(body, at)
-        info, at = _take(body, at + _BEGIN.size, n)
+    def _begin(self, body: bytes, offset: int, events: list[Any]) -> int:
+        instance, seed, count = _BEGIN.unpack_from(body, offset)
+        info, offset = _take_bytes(body, offset + _BEGIN.size, count)
         try:
             settings, fields = decode_settings(info)
         except SettingsError as exc:
             raise WireError(str(exc)) from None
-        self._fields[inst] = fields
-        out.append((inst, Begin(seed, settings, fields)))
-        return at
-
-    def _mail(self, body: bytes, at: int, out: list[Any]) -> int:
-        inst, sender, n = _MAIL.unpack_from(body, at)
-        payload, at = _take(body, at + _MAIL.size, n)
-        out.append((inst, PeerMessage(sender, payload)))
-        return at
-
-    def _probed(self, body: bytes, at: int, out: list[Any]) -> int:
-        inst, worker, verdict, lag, n = _PROBED.unpack_from(body, at)
-        report, end = self._report(inst, body, at + _PROBED.size, n)
-        out.append((inst, ProbeEnded(worker, _known(_OUTCOMES, verdict, "outcome code"), lag, report)))
+        self._fields[instance] = fields
+        events.append((instance, Begin(seed, settings, fields)))
+        return offset
+
+    def _peer_message(self, body: bytes, offset: int, events: list[Any]) -> int:
+        instance, sender, count = _PEER_MESSAGE.unpack_from(body, offset)
+        payload, offset = _take_bytes(body, offset + _PEER_MESSAGE.size, count)
+        events.append((instance, PeerMessage(sender, payload)))
+        return offset
+
+    def _probe_ended(self, body: bytes, offset: int, events: list[Any]) -> int:
+        instance, worker, outcome_code, took, count = _PROBE_ENDED.unpack_from(body, offset)
+        report, end = self._report(instance, body, offset + _PROBE_ENDED.size, count)
+        events.append(
+            (instance, ProbeEnded(worker, _lookup(_OUTCOMES, outcome_code, "outcome code"), took, report))
+        )
         return end
 
-    def _expired(self, body: bytes, at: int, out: list[Any]) -> int:
-        inst, job = _EXPIRED.unpack_from(body, at)
-        out.append((inst, JobExpired(job)))
-        return at + _EXPIRED.size
+    def _expired(self, body: bytes, offset: int, events: list[Any]) -> int:
+        instance, job = _EXPIRED.unpack_from(body, offset)
+        events.append((instance, JobExpired(job)))
+        return offset + _EXPIRED.size
 
 
 _READERS: dict[int, Callable[[Decoder, bytes, int, list[Any]], int]] = {
-    0: Decoder._submit,
-    1: Decoder._note,
-    2: Decoder._sheet,
-    3: Decoder._targets,
-    4: Decoder._wakeup,
-    5: Decoder._stream,
+    0: Decoder._job,
+    1: Decoder._attempt_note,
+    2: Decoder._store_list,
+    3: Decoder._list_update,
+    4: Decoder._timer,
+    5: Decoder._stream_began,
     6: Decoder._halt,
-    7: Decoder._returned,
+    7: Decoder._attempt_ended,
     8: Decoder._begin,
-    9: Decoder._mail,
-    10: Decoder._probed,
+    9: Decoder._peer_message,
+    10: Decoder._probe_ended,
     11: Decoder._expired,
 }
 
 
-def _take(body: bytes, at: int, n: int) -> tuple[bytes, int]:
-    if at + n > len(body):
+def _take_bytes(body: bytes, offset: int, count: int) -> tuple[bytes, int]:
+    if offset + count > len(body):
         raise struct_error
-    return body[at : at + n], at + n
+    return body[offset : offset + count], offset + count
 
 
-def _known(table: dict[int, Any], number: int, what: str) -> Any:
+def _lookup(table: dict[int, Any], number: int, what: str) -> Any:
     try:
         return table[number]
     except KeyError:
@@ -278,12 +284,12 @@
 
 
 def encode(instance: int, action: Action) -> bytes:
-    """The bytes of one action."""
+    """Return the record of one action."""
     return _WRITERS[type(action)](instance, action)
 
 
 def encode_exception(instance: int, text: str) -> bytes:
-    """The bytes that report a crash of the decision code."""
+    """Return the record that reports an exception in the decision code."""
     return _text(9, instance, text)
 
 
@@ -292,21 +298,21 @@
     return _TEXT.pack(code, instance, len(raw)) + raw
 
 
-def _share(instance: int, action: SendToPeer) -> bytes:
+def _send_to_peer(instance: int, action: SendToPeer) -> bytes:
     peer = ALL_PEERS if action.peer is None else action.peer
-    return _SHARE.pack(7, instance, peer, len(action.payload)) + action.payload
+    return _SEND_TO_PEER.pack(7, instance, peer, len(action.payload)) + action.payload
 
 
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
-    Push: lambda i, a: _PASS_ON.pack(0, i, a.job, a.worker, a.timeout_at),
-    Refuse: lambda i, a: _OVERLOAD_REPLY.pack(1, i, a.job, a.retry_after),
-    Fail: lambda i, a: _GIVE_UP.pack(2, i, a.job),
-    Cancel: lambda i, a: _CALL_OFF.pack(3, i, a.job, a.attempt),
-    SetTimer: lambda i, a: _ARM.pack(4, i, min(a.after, ARM_LIMIT), a.token),
+    Push: lambda i, a: _PUSH.pack(0, i, a.job, a.worker, a.timeout_at),
+    Refuse: lambda i, a: _REFUSE.pack(1, i, a.job, a.retry_after),
+    Fail: lambda i, a: _FAIL.pack(2, i, a.job),
+    Cancel: lambda i, a: _CANCEL.pack(3, i, a.job, a.attempt),
+    SetTimer: lambda i, a: _SET_TIMER.pack(4, i, min(a.after, TIMER_LIMIT), a.token),
     Probe: lambda i, a: _PROBE.pack(5, i, a.worker),
     CloseIdle: lambda i, a: _PROBE.pack(6, i, a.worker),
-    SendToPeer: _share,
+    SendToPeer: _send_to_peer,
     Log: lambda i, a: _text(8, i, a.text),
-    Subscribe: lambda i, a: _TAIL.pack(10, i, a.on),
-    FetchList: lambda i, a: _GET_LIST.pack(11, i),
+    Subscribe: lambda i, a: _SUBSCRIBE.pack(10, i, a.on),
+    FetchList: lambda i, a: _FETCH_LIST.pack(11, i),
 }
