--- a/pulleyroute/__init__.py
+++ b/pulleyroute/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a dispatcher that pushes jobs to workers: paced resubmission over weighted random draws."""
+"""A dispatcher that pushes jobs to workers by weighted random choice and retries with Full Jitter backoff."""
 
 from pulleyroute.rules import Dispatcher
 
--- a/pulleyroute/adapter.py
+++ b/pulleyroute/adapter.py
@@ -1,4 +1,4 @@
-"""Hosts many dispatchers on the wire: batches on standard input, replies on standard output. No decisions."""
+"""Runs many dispatchers for the simulator: batches on standard input, replies on standard output."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class Host:
-    """The instances of one process. They share nothing but the decoder's list banks, which nobody changes."""
+    """The dispatchers of a process, by instance number. They share the decoder's worker lists, read-only."""
 
     def __init__(self) -> None:
         self._decoder = Decoder()
         self._instances: dict[int, Dispatcher] = {}
 
     def reply(self, count: int, now: int, body: bytes) -> bytes:
-        """Answer one batch."""
+        """Handle the `count` events of one batch and return the reply."""
         records: list[bytes] = []
         for instance, event in self._decoder.batch(count, body):
             if isinstance(event, Halt):
@@ -38,15 +38,15 @@
                 if isinstance(event, Begin):
                     self._instances[instance] = Dispatcher(event.settings, event.seed, now)
                 else:
-                    self._pass(instance, event, now, records)
+                    self._handle(instance, event, now, records)
             except WireError:
                 raise
-            except Exception as exc:  # a crash of the decision code is to be reported, not died of
+            except Exception as exc:  # reported to the simulator; the other instances go on
                 records.append(encode_exception(instance, _describe(exc, event)))
         payload = b"".join(records)
         return REPLY_HEADER.pack(len(records), len(payload)) + payload
 
-    def _pass(self, instance: int, event: Event, now: int, records: list[bytes]) -> None:
+    def _handle(self, instance: int, event: Event, now: int, records: list[bytes]) -> None:
         dispatcher = self._instances.get(instance)
         if dispatcher is None:
             raise WireError(f"{type(event).__name__} for instance {instance}, which has not begun")
@@ -55,24 +55,25 @@
 
 
 def _describe(exc: Exception, event: object) -> str:
-    place = ""
+    location = ""
     frames = traceback.extract_tb(exc.__traceback__)
     if frames:
         last = frames[-1]
-        place = f" at {last.name}, line {last.lineno} of {last.filename.rsplit('/', 1)[-1]}"
-    return f"{type(exc).__name__}: {exc}{place}, handling {event!r}"[:2000]
+        location = f" at {last.name}, line {last.lineno} of {last.filename.rsplit('/', 1)[-1]}"
+    return f"{type(exc).__name__}: {exc}{location}, handling {event!r}"[:2000]
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Answer batches until the input ends; raises `WireError` on a malformed one."""
     host = Host()
     while header := source.read(BATCH_HEADER.size):
         if len(header) < BATCH_HEADER.size:
             raise WireError(f"truncated batch header: {len(header)} of {BATCH_HEADER.size} bytes")
         count, length, now = BATCH_HEADER.unpack(header)
-        length -= BATCH_HEADER.size - REPLY_HEADER.size  # the clock is among the bytes that follow the length
+        # The length counts the clock, which the header includes.
+        length -= BATCH_HEADER.size - REPLY_HEADER.size
         if length < 0:
-            raise WireError("a batch too short to hold its clock")
+            raise WireError("truncated batch: shorter than its clock")
         body = source.read(length)
         if len(body) < length:
             raise WireError(f"truncated batch: {len(body)} of {length} bytes")
@@ -81,7 +82,7 @@
 
 
 def main() -> int:
-    """Serve standard input; a malformed frame ends it with one plain line."""
+    """Serve standard input; a malformed batch ends the process with one line on standard error."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as exc:
