--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Hand-made settings and events for tests."""
+"""Settings, and a harness for one dispatcher, for tests of the decisions."""
 
 from __future__ import annotations
 
@@ -57,11 +57,12 @@
 
 
 def ready(name: bytes, **fields: Any) -> Entry:
+    """Return the list entry of a ready worker."""
     return Entry(name, WorkerState.READY, **fields)
 
 
-class Bench:
-    """A dispatcher with a clock that fires its timers, for one test."""
+class Harness:
+    """A dispatcher with a simulated clock that fires its timers."""
 
     def __init__(
         self, entries: list[Entry], seed: int = 1, kind: ListKind = ListKind.FULL, **changes: Any
@@ -69,39 +70,42 @@
         self.now = 1_000 * SECOND
         self.dispatcher = Dispatcher(replace(SETTINGS, **changes), seed, self.now)
         self.timers: list[tuple[int, int]] = []
-        self.log: list[Action] = []
+        self.actions: list[Action] = []
         self.next_job = 1
-        self.tell(WorkerList(1, kind, entries))
+        self.handle(WorkerList(1, kind, entries))
 
-    def tell(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
+        """Pass an event to the dispatcher, and keep its actions and timers."""
         actions = self.dispatcher.handle(self.now, event)
-        self.log += actions
+        self.actions += actions
         self.timers += [(self.now + a.after, a.token) for a in actions if isinstance(a, SetTimer)]
         return actions
 
-    def run(self, span: int) -> list[Action]:
-        """Let time pass, firing timers in order."""
-        end, seen = self.now + span, len(self.log)
+    def advance(self, span: int) -> list[Action]:
+        """Advance the clock by microseconds, firing timers in order; return the actions that followed."""
+        end, seen = self.now + span, len(self.actions)
         while due := [t for t in self.timers if t[0] <= end]:
             timer = min(due)
             self.timers.remove(timer)
             self.now = max(self.now, timer[0])
-            self.tell(TimerFired(timer[1]))
+            self.handle(TimerFired(timer[1]))
         self.now = end
-        return self.log[seen:]
+        return self.actions[seen:]
 
-    def job(self, job_class: int = SAFE, **fields: Any) -> tuple[int, list[Action]]:
+    def submit(self, job_class: int = SAFE, **fields: Any) -> tuple[int, list[Action]]:
+        """Submit a job; return its id and the actions that followed."""
         job = self.next_job
         self.next_job += 1
         fields.setdefault("time_left", CLASSES[job_class].give_up)
-        return job, self.tell(JobArrived(job, job_class, **fields))
+        return job, self.handle(JobArrived(job, job_class, **fields))
 
 
-def of(kind: type, actions: list[Action]) -> list[Any]:
+def of_type(kind: type, actions: list[Action]) -> list[Any]:
+    """Return the actions of one type."""
     return [a for a in actions if isinstance(a, kind)]
 
 
-def pushed(actions: list[Action]) -> Any:
-    """The worker of the one push among the actions."""
-    (push,) = of(Push, actions)
+def pushed_worker(actions: list[Action]) -> Any:
+    """Return the worker of the only push among the actions."""
+    (push,) = of_type(Push, actions)
     return push.worker
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""The four rules over scripted histories: whatever happens, each job gets one answer and none runs twice."""
+"""Random histories: whatever happens, each job gets one answer, and no job runs twice that must not."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -19,7 +19,7 @@
     WorkerState,
 )
 from pulleyroute.rules import PROVEN_NOT_RUN
-from tests.helpers import CLASSES, SECOND, Bench, ready
+from tests.helpers import CLASSES, SECOND, Harness, ready
 
 NAMES = [b"a", b"b", b"c", b"d"]
 STEPS = st.one_of(
@@ -32,87 +32,91 @@
 
 
 class Referee:
-    """Keeps the true state of every job and checks each action against the rules."""
+    """Keeps the true state of each job and checks every action against the rules for repeats."""
 
     def __init__(self, seed):
         self.states = {name: WorkerState.READY for name in NAMES}
-        self.bench = Bench([ready(name, zone=i % 2) for i, name in enumerate(NAMES)], seed)
-        self.classes, self.deadlines, self.sent, self.out, self.answers = {}, {}, {}, {}, {}
-        self.seen = 0
+        self.harness = Harness([ready(name, zone=i % 2) for i, name in enumerate(NAMES)], seed)
+        self.classes, self.deadlines, self.sent, self.open_attempts, self.answers = {}, {}, {}, {}, {}
+        self.checked = 0
 
     def check(self):
-        bench = self.bench
-        for action in bench.log[self.seen :]:
+        harness = self.harness
+        for action in harness.actions[self.checked :]:
             if isinstance(action, Push):
-                job, tries = action.job, self.sent.setdefault(action.job, [])
-                assert job not in self.answers and bench.now < self.deadlines[job]
+                job, attempts = action.job, self.sent.setdefault(action.job, [])
+                assert job not in self.answers and harness.now < self.deadlines[job]
                 assert self.states[action.worker] is WorkerState.READY
-                cls, ran = CLASSES[self.classes[job]], [t for t in tries if t["ran"]]
+                cls, ran = CLASSES[self.classes[job]], [t for t in attempts if t["ran"]]
                 if ran and cls.effect is Effect.UNSAFE:
-                    raise AssertionError("an unsafe job went out twice")
+                    raise AssertionError("an unsafe job was pushed again")
                 if ran and cls.effect is Effect.KEYED:
                     zone = NAMES.index(ran[0]["worker"]) % 2
                     assert NAMES.index(action.worker) % 2 == zone
-                    assert bench.now <= ran[0]["at"] + cls.repeat_window
-                self.out[(job, len(tries))] = action.worker
-                tries.append({"worker": action.worker, "at": bench.now, "ran": True})
+                    assert harness.now <= ran[0]["sent_at"] + cls.repeat_window
+                self.open_attempts[(job, len(attempts))] = action.worker
+                attempts.append({"worker": action.worker, "sent_at": harness.now, "ran": True})
             elif isinstance(action, Refuse | Fail):
                 assert action.job not in self.answers
                 self.answers[action.job] = action
                 if isinstance(action, Refuse) and CLASSES[self.classes[action.job]].effect is not Effect.SAFE:
                     assert not any(t["ran"] for t in self.sent.get(action.job, []))
-            elif isinstance(action, Cancel) and (action.job, action.attempt) in self.out:
-                self.end((action.job, action.attempt), Outcome.CANCELLED, -1)
+            elif isinstance(action, Cancel) and (action.job, action.attempt) in self.open_attempts:
+                self.end_attempt((action.job, action.attempt), Outcome.CANCELLED, -1)
                 return
-        self.seen = len(bench.log)
+        self.checked = len(harness.actions)
 
-    def end(self, key, outcome, free):
-        worker = self.out.pop(key)
+    def end_attempt(self, key, outcome, free):
+        worker = self.open_attempts.pop(key)
         job, index = key
         self.sent[job][index]["ran"] = outcome not in PROVEN_NOT_RUN
         final = outcome is Outcome.OK or job in self.answers
         if final:
             self.answers.setdefault(job, outcome)
         report = LoadReport(free_slots=free) if free >= 0 else None
-        self.tell(AttemptEnded(job, index, worker, outcome, final, 0, report))
+        self.handle(AttemptEnded(job, index, worker, outcome, final, 0, report))
 
-    def tell(self, event):
-        self.bench.tell(event)
+    def handle(self, event):
+        self.harness.handle(event)
         self.check()
 
     def advance(self, span):
-        end = self.bench.now + span
-        while self.bench.now < end:
+        end = self.harness.now + span
+        while self.harness.now < end:
             due = min(
-                [t[0] for t in self.bench.timers]
+                [t[0] for t in self.harness.timers]
                 + [end]
-                + [self.deadlines[job] for job, _ in self.out if self.deadlines[job] > self.bench.now]
+                + [
+                    self.deadlines[job]
+                    for job, _ in self.open_attempts
+                    if self.deadlines[job] > self.harness.now
+                ]
             )
-            self.bench.run(max(0, min(due, end) - self.bench.now))
+            self.harness.advance(max(0, min(due, end) - self.harness.now))
             self.check()
-            for key in [k for k in self.out if self.deadlines[k[0]] <= self.bench.now]:
-                if key in self.out:
-                    self.end(key, Outcome.TIMEOUT, -1)
+            for key in [k for k in self.open_attempts if self.deadlines[k[0]] <= self.harness.now]:
+                if key in self.open_attempts:
+                    self.end_attempt(key, Outcome.TIMEOUT, -1)
 
     def step(self, step):
-        keys = list(self.out)
+        keys = list(self.open_attempts)
         if step[0] == "job":
-            job = self.bench.next_job
+            job = self.harness.next_job
             self.classes[job] = step[1]
-            self.deadlines[job] = self.bench.now + CLASSES[step[1]].give_up
-            self.bench.job(step[1])
+            self.deadlines[job] = self.harness.now + CLASSES[step[1]].give_up
+            self.harness.submit(step[1])
             self.check()
         elif step[0] == "end" and keys:
-            self.end(keys[step[1] % len(keys)], step[2], step[3])
+            self.end_attempt(keys[step[1] % len(keys)], step[2], step[3])
         elif step[0] == "start" and keys:
             job, index = keys[step[1] % len(keys)]
-            self.tell(AttemptStarted(job, index, self.out[(job, index)]))
+            self.handle(AttemptStarted(job, index, self.open_attempts[(job, index)]))
         elif step[0] == "list":
             _, name, state, restarted = step
             self.states[name] = state
-            started = self.bench.now if restarted else 0
+            started = self.harness.now if restarted else 0
             entry = Entry(name, state, started=started, zone=NAMES.index(name) % 2)
-            self.tell(WorkerList(2, ListKind.DELTA, [entry]))
+            self.handle(WorkerList(2, ListKind.DELTA, [entry]))
         elif step[0] == "pass":
             self.advance(step[1])
 
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -17,7 +17,7 @@
     Push,
     WorkerList,
 )
-from tests.helpers import CLASSES, KEYED, SAFE, SECOND, UNSAFE, Bench, of, ready
+from tests.helpers import CLASSES, KEYED, SAFE, SECOND, UNSAFE, Harness, of_type, ready
 
 START = 1_000 * SECOND  # microseconds
 
@@ -119,59 +119,59 @@
 ATTEMPT_TIME_ATTRIBUTES = {"heard": "last_progress", "sent": "sent_at", "started": "started_at"}
 
 
-def push_until(bench, worker, job_class):
+def push_until(harness, worker, job_class):
     """Submit jobs of the class, ending those pushed elsewhere, until one is pushed to the worker."""
     while True:
-        job, actions = bench.job(job_class)
-        pushes = of(Push, actions)
+        job, actions = harness.submit(job_class)
+        pushes = of_type(Push, actions)
         if pushes and pushes[0].worker == worker:
             return job
-        bench.now += SECOND // 50
+        harness.now += SECOND // 50
         for push in pushes:
-            bench.tell(AttemptEnded(job, 0, push.worker, Outcome.OK, True))
+            harness.handle(AttemptEnded(job, 0, push.worker, Outcome.OK, True))
 
 
-def played():
+def play_scenario():
     """A dispatcher with four workers and three open jobs: attempts out and ended, budgets, all classes."""
-    bench = Bench([ready(b"a")], probes=True, price_cross_zone=0.002)
-    bench.tell(ProbeEnded(b"a", Outcome.OK, 10, LoadReport(free_slots=1.0)))
-    first, waiting = bench.job(SAFE)[0], bench.job(SAFE)[0]
+    harness = Harness([ready(b"a")], probes=True, price_cross_zone=0.002)
+    harness.handle(ProbeEnded(b"a", Outcome.OK, 10, LoadReport(free_slots=1.0)))
+    first, waiting = harness.submit(SAFE)[0], harness.submit(SAFE)[0]
     for job in (first, waiting):  # the second one waits for the slot of the first
-        bench.tell(AttemptStarted(job, 0, b"a"))
-        bench.now += SECOND * 3 // 4
-        bench.tell(AttemptEnded(job, 0, b"a", Outcome.OK, True))
+        harness.handle(AttemptStarted(job, 0, b"a"))
+        harness.now += SECOND * 3 // 4
+        harness.handle(AttemptEnded(job, 0, b"a", Outcome.OK, True))
     others = [ready(b"b", zone=1, cell=2), ready(b"full"), ready(b"cold", started=START - 2 * SECOND, zone=1)]
-    bench.tell(WorkerList(2, ListKind.DELTA, others))
+    harness.handle(WorkerList(2, ListKind.DELTA, others))
     for round_number in range(3):
         for name, free in ((b"a", 3.0), (b"b", 2.0), (b"cold", 4.0)):
-            bench.now += SECOND // 10
+            harness.now += SECOND // 10
             report = LoadReport(free_slots=free + round_number / 8, free_memory=6.5, in_hand=1.0)
-            bench.tell(ProbeEnded(name, Outcome.OK, 10, report))
+            harness.handle(ProbeEnded(name, Outcome.OK, 10, report))
     for free in (2.0, 0.0):
-        bench.now += SECOND // 10
-        bench.tell(ProbeEnded(b"full", Outcome.OK, 10, LoadReport(free_slots=free)))
-    job = push_until(bench, b"a", SAFE)
-    bench.now += SECOND // 7
-    bench.tell(AttemptStarted(job, 0, b"a"))
-    bench.now += SECOND // 3
-    bench.tell(AttemptEnded(job, 0, b"a", Outcome.OK, True))
-    job = push_until(bench, b"b", SAFE)
-    bench.tell(AttemptEnded(job, 0, b"b", Outcome.ERROR, False))
-    repeated = push_until(bench, b"a", KEYED)
-    bench.tell(AttemptEnded(repeated, 0, b"a", Outcome.FULL, False))
-    bench.tell(ProbeEnded(b"full", Outcome.CONNECT_FAILED, 10))
-    cold = push_until(bench, b"cold", SAFE)
-    bench.now += SECOND // 20
-    bench.tell(AttemptStarted(cold, 0, b"cold"))
-    unsafe = push_until(bench, b"b", UNSAFE)
-    bench.run(SECOND)
-    bench.tell(ProbeEnded(b"b", Outcome.OK, 10, LoadReport(free_slots=0.5)))
-    return bench, [repeated, cold, unsafe]
-
-
-def packed():
-    bench, jobs = played()
-    rules = bench.dispatcher
+        harness.now += SECOND // 10
+        harness.handle(ProbeEnded(b"full", Outcome.OK, 10, LoadReport(free_slots=free)))
+    job = push_until(harness, b"a", SAFE)
+    harness.now += SECOND // 7
+    harness.handle(AttemptStarted(job, 0, b"a"))
+    harness.now += SECOND // 3
+    harness.handle(AttemptEnded(job, 0, b"a", Outcome.OK, True))
+    job = push_until(harness, b"b", SAFE)
+    harness.handle(AttemptEnded(job, 0, b"b", Outcome.ERROR, False))
+    repeated = push_until(harness, b"a", KEYED)
+    harness.handle(AttemptEnded(repeated, 0, b"a", Outcome.FULL, False))
+    harness.handle(ProbeEnded(b"full", Outcome.CONNECT_FAILED, 10))
+    cold = push_until(harness, b"cold", SAFE)
+    harness.now += SECOND // 20
+    harness.handle(AttemptStarted(cold, 0, b"cold"))
+    unsafe = push_until(harness, b"b", UNSAFE)
+    harness.advance(SECOND)
+    harness.handle(ProbeEnded(b"b", Outcome.OK, 10, LoadReport(free_slots=0.5)))
+    return harness, [repeated, cold, unsafe]
+
+
+def pack_scenario():
+    harness, jobs = play_scenario()
+    rules = harness.dispatcher
     return {
         "general": snapshot.pack_estimates(rules),
         "workers": [snapshot.pack_worker(worker) for worker in rules.workers.values()],
@@ -181,7 +181,7 @@
 
 
 def test_the_packed_values_are_byte_for_byte_those_of_the_first_version():
-    values = packed()
+    values = pack_scenario()
     assert json.dumps(values["general"]) == GENERAL
     assert [json.dumps(worker) for worker in values["workers"]] == WORKERS
     assert [json.dumps(job) for job in values["jobs"]] == JOBS
@@ -191,7 +191,7 @@
 def receiver():
     """A dispatcher of another process with the same worker list."""
     names = {b"a": 0, b"b": 0, b"full": 0, b"cold": START - 2 * SECOND}
-    return Bench([ready(name, started=started) for name, started in names.items()], seed=2).dispatcher
+    return Harness([ready(name, started=started) for name, started in names.items()], seed=2).dispatcher
 
 
 def attributes(source, names):
