--- a/pulleyroute/net/host.py
+++ b/pulleyroute/net/host.py
@@ -88,7 +88,7 @@
             api.Subscribe: lambda action: self._discovery.watch(action.on),
             api.FetchList: lambda action: self._discovery.fetch(),
             api.CloseIdle: lambda action: self._instances.close_idle(action.worker),
-            api.Tell: lambda action: logger.debug("no protocol carries messages between dispatchers"),
+            api.SendToPeer: lambda action: logger.debug("no protocol carries messages between dispatchers"),
             api.Log: lambda action: logger.info("module: {}", action.text),
         }
 
@@ -130,7 +130,7 @@
             logger.bind(event="decisions.failed").exception(
                 "the decision module failed on {}", type(event).__name__
             )
-            actions = self._dispatcher.todo
+            actions = self._dispatcher.actions
         self._carry_out(actions)
 
     def _carry_out(self, actions: list[api.Action]) -> None:
@@ -144,7 +144,7 @@
     def avoided(self) -> int:
         """How many listed instances the decisions push nothing to for now."""
         rules, now = self._dispatcher, self._loop.now()
-        return sum(1 for worker in rules.ready if rules.avoids(worker, now))
+        return sum(1 for worker in rules.ready if rules.is_ejected(worker, now))
 
     # Requests
 
@@ -243,18 +243,18 @@
     def knowledge(self) -> list[dict[str, Any]]:
         """What the decisions know: in general, then of each instance."""
         rules = self._dispatcher
-        return [snapshot.knowledge(rules), *map(snapshot.worker, rules.workers.values())]
+        return [snapshot.pack_estimates(rules), *map(snapshot.pack_worker, rules.workers.values())]
 
     def learn(self, values: dict[str, Any], shift: int) -> None:
         """Take over one item of another's knowledge; `shift` turns its clock into this one."""
         if "id" in values:
-            snapshot.learn_worker(self._dispatcher, values, shift)
+            snapshot.restore_worker(self._dispatcher, values, shift)
         else:
-            snapshot.learn(self._dispatcher, values)
+            snapshot.restore_estimates(self._dispatcher, values)
 
     def pack(self, job: Job) -> dict[str, Any]:
         """A job that is movable as plain values, but for its body."""
-        return job_transfer.pack(job, snapshot.job(self._dispatcher, job.number))
+        return job_transfer.pack(job, snapshot.pack_job(self._dispatcher, job.number))
 
     def release(self, job: Job) -> None:
         """Another process has the job: it is none of this one's any more, and nothing is stopped for it."""
@@ -280,7 +280,7 @@
             self._arm(attempt)
         if values["rules"] is not None:
             self._carry_out(
-                snapshot.learn_job(
+                snapshot.restore_job(
                     self._dispatcher, self._loop.now(), job.number, job.cls, job.most, values["rules"], shift
                 )
             )
@@ -435,7 +435,7 @@
     def _tell_push(self, job: Job, attempt: Attempt) -> None:
         """What a push rested on, for the log. Times are microseconds, -1 where there is none."""
         worker = self._dispatcher.workers[attempt.instance]
-        aged = worker.free is not None and worker.report_at
+        aged = worker.free_slots is not None and worker.report_at
         log.event(
             "push",
             txn=attempt.txn,
@@ -445,9 +445,9 @@
             waited=self._now - job.taken,
             zone=self._settings.zone,
             to=worker.zone,
-            free="-" if worker.free is None else round(worker.free, 2),
+            free="-" if worker.free_slots is None else round(worker.free_slots, 2),
             age=self._now - worker.report_at if aged else -1,
-            near=int(worker in self._dispatcher.near),
+            near=int(worker in self._dispatcher.subset),
             up=self._now - worker.started if worker.started else -1,
         )
 
