--- a/benchmarks/capacity/hollow_discovery.py
+++ b/benchmarks/capacity/hollow_discovery.py
@@ -75,7 +75,7 @@
             self._changes.append(self._list(changed, complete=False))
             self._watches = [each for each in self._watches if not each.done]
             for watch in self._watches:
-                watch.nudge()
+                watch.wake()
         return self._revision
 
     def _list(self, instances: list[Instance], complete: bool) -> bytes:
--- a/benchmarks/capacity/hollow_member.py
+++ b/benchmarks/capacity/hollow_member.py
@@ -164,7 +164,7 @@
     def _wait_for_all(self) -> None:
         self._waiting = list(self._members)
         self._last_look = self._loop.now()
-        self._looking.nudge()
+        self._looking.wake()
 
     def _look(self) -> Coroutine[None]:
         while True:
--- a/pulleyroute/__main__.py
+++ b/pulleyroute/__main__.py
@@ -75,7 +75,7 @@
 
     def gauges(self) -> Gauges:
         """What is so at the moment."""
-        return Gauges(self.host.open, self.discovery.size, self.host.avoided)
+        return Gauges(self.host.open_requests, self.discovery.size, self.host.avoided)
 
     def standby(self) -> None:
         """Drain, and stay."""
@@ -111,7 +111,7 @@
             budget, programs = max(FEWEST, budget - theirs), 2
         self.instances.allow(int(budget * INSTANCE_SHARE))
         self.clients.allow(int(budget * CLIENT_SHARE), int(budget * JOB_SHARE))
-        self.ledger.most = max(MEGABYTE, readable(self.config, programs) - held)
+        self.ledger.limit = max(MEGABYTE, readable(self.config, programs) - held)
 
 
 def build(config: Config, loop: Loop, listener: socket.socket | None = None) -> Parts:
--- a/pulleyroute/fleet/agent.py
+++ b/pulleyroute/fleet/agent.py
@@ -125,7 +125,7 @@
         self._changed = True
         if self._idle:
             # Guards calls in hand: a nudge ends whatever wait the task is in.
-            self._task.nudge()
+            self._task.wake()
 
     # The store, met and lost
 
--- a/pulleyroute/grpc/back.py
+++ b/pulleyroute/grpc/back.py
@@ -43,7 +43,7 @@
 
 
 class Calls:
-    """Owns every connection to a pool's instances and the attempts on them. A `requests.Back`."""
+    """Owns every connection to a pool's instances and its attempts. A `requests.InstanceTransport`."""
 
     def __init__(
         self,
@@ -202,7 +202,7 @@
             )
             task = site.connecting
             if task is not None:
-                connection.on_ready = task.nudge
+                connection.on_ready = task.wake
             connection.start()
             while not connection.ready and not connection.closed:
                 if self._loop.now() >= limit:
--- a/pulleyroute/grpc/call.py
+++ b/pulleyroute/grpc/call.py
@@ -132,8 +132,8 @@
         if self.upstream is None or self.done:
             return
         if (self.replay.over or self._ledger.full) and self.replay.whole and self.job is not None:
-            self.job.committed = True
-        if self.job is not None and (self.job.committed or self._begun):
+            self.job.replay_dropped = True
+        if self.job is not None and (self.job.replay_dropped or self._begun):
             self._let_go(self.upstream.position)
 
     def _let_go(self, offset: int) -> None:
@@ -245,7 +245,7 @@
             if not ended:  # no gRPC at all, with a body that nobody reads
                 self._conclude(one(headers, b"grpc-status") is not None)
             return
-        if not self.call.host.begin(self.attempt):
+        if not self.call.host.begin_answer(self.attempt):
             self._over = True
             if self.stream is not None:
                 self.stream.reset()
--- a/pulleyroute/grpc/front.py
+++ b/pulleyroute/grpc/front.py
@@ -95,7 +95,7 @@
     def apply(self, routes: Routes[Target], limits: FrontLimits, context: ssl.SSLContext | None) -> None:
         """Other routes, limits and certificate from now on; calls and connections that are open go on."""
         self.routes, self.limits, self.context = routes, limits, context
-        self.ledger.most = limits.memory
+        self.ledger.limit = limits.memory
 
     def stop(self) -> None:
         """No new connection; GOAWAY on those there are; their calls finish, for `limits.drain` at the
--- a/pulleyroute/net/buffers.py
+++ b/pulleyroute/net/buffers.py
@@ -31,10 +31,10 @@
 class Ledger:
     """Counts the bytes of requests that accepted connections hold, against what memory allows."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
         self.held = 0
 
     @property
     def full(self) -> bool:
-        return self.held > self.most
+        return self.held > self.limit
--- a/pulleyroute/net/downstream.py
+++ b/pulleyroute/net/downstream.py
@@ -22,9 +22,9 @@
 from pulleyroute.net.job_transfer import movable
 from pulleyroute.net.lifecycle import Lifecycle
 from pulleyroute.net.listener import Listener
-from pulleyroute.net.loop import ENDED, READABLE, Coroutine, Loop, Task, Wait, Woken
+from pulleyroute.net.loop import PEER_CLOSED, READABLE, Coroutine, Loop, Task, Wait, WaitResult
 from pulleyroute.net.metrics import Ended, Metrics, by_status
-from pulleyroute.net.requests import Answer, Call, Ending, Job, Request, State
+from pulleyroute.net.requests import Answer, CallbackState, Ending, InstanceCallback, Job, Request
 
 READY = b"/-/ready"
 CALLBACK = b"/callback"
@@ -110,7 +110,7 @@
         self._metrics = metrics or Metrics()
         self._move: Move | None = None  # to another process, once it has taken over
         # A call-back for a job that is not here: whether it was heard by whoever has it, or nobody has.
-        self.elsewhere: Callable[[Call, bytes], Coroutine[bool]] | None = None
+        self.elsewhere: Callable[[InstanceCallback, bytes], Coroutine[bool]] | None = None
         self.theirs: frozenset[str] = frozenset()  # ids that the process before this one still works on
         self.left: Callable[[], None] = loop.stop  # once nothing is owed and no connection is left
 
@@ -211,7 +211,7 @@
         connection = Connection(stream, values.get("since", self._loop.now()) + shift)
         connection.known = values["known"]
         first = None
-        if "job" in values and self._host.knows(values["job"]["txn"]):
+        if "job" in values and self._host.has_request(values["job"]["txn"]):
             # Guards the one attempt of an id: this one was asked for twice, here and there.
             stream.resume(values["pending"], len(body))
             first = self._tell(stream, 502, b"failed", close=True)
@@ -219,7 +219,7 @@
             stream.resume(values["pending"], len(body))
             connection.working = True
             connection.job = self._host.take_over(values["job"], body, self._replying(connection), shift)
-            connection.job.request.gone = stream.gone
+            connection.job.request.client_gone = stream.gone
             first = self._awaiting(connection, connection.job)
         self._begin(connection, first)
 
@@ -234,7 +234,7 @@
             # A nudge and no close: what has come, and is not read yet, is served.
             for connection in [*self._silent, *self._idle]:
                 if connection.task is not None:
-                    connection.task.nudge()
+                    connection.task.wake()
         if now >= self.lifecycle.cut_from:
             reading = [c for c in self._connections if not c.working and c.line is not self._lingering]
             for connection in reading:
@@ -245,7 +245,7 @@
 
     def _leave(self) -> None:
         """Stop the loop once nothing is owed any more."""
-        if self.lifecycle.quiet(self._loop.now()) and not self._host.open and not self._connections:
+        if self.lifecycle.quiet(self._loop.now()) and not self._host.open_requests and not self._connections:
             logger.bind(event="stopped").info("all is answered, leaving")
             self.left()
 
@@ -329,7 +329,7 @@
                 connection.working = True
                 if going and not stream.fresh and connection.task is not None:
                     # Guards all others against one that sends request after request: their turn comes first.
-                    connection.task.nudge()
+                    connection.task.wake()
                     yield Wait()
             self._stand(connection, self._lingering)
             yield from stream.linger()
@@ -358,17 +358,17 @@
                     # Guards the drain: one that connects now is given a moment, and not a stranger's time.
                     until = min(until, connection.since + LATE_SILENCE)
                 woken = yield Wait(stream.fileno(), READABLE, until)
-                if woken is not Woken.READY and stream.pull() is not None:
+                if woken is not WaitResult.READY and stream.pull() is not None:
                     return True  # what came at the last moment is still served
-                if woken is Woken.LATE and not connection.known:
+                if woken is WaitResult.TIMED_OUT and not connection.known:
                     raise Late
                 if (
-                    woken is Woken.NUDGED
+                    woken is WaitResult.WOKEN
                     and not connection.known
                     and (self._loop.now() < connection.since + LATE_SILENCE)
                 ):
                     continue  # its request may be on the way
-                if woken is not Woken.READY:
+                if woken is not WaitResult.READY:
                     return False
         finally:
             self._stand(connection, None)
@@ -408,8 +408,8 @@
             except ValueError as exc:
                 return (yield from self._tell(stream, 400, str(exc).encode()))
             connection.known = True
-            if self._host.knows(call.txn) or self.elsewhere is None:
-                self._host.call(call)
+            if self._host.has_request(call.txn) or self.elsewhere is None:
+                self._host.handle_callback(call)
             elif not (yield from self.elsewhere(call, message.body)):
                 # Guards the job: the other process has not said that it heard, so the instance has to say it
                 # again.
@@ -424,11 +424,14 @@
             request = read_request(message, job_class)
         except (ValueError, Malformed) as exc:
             return (yield from self._tell(stream, 400, str(exc).encode()))
-        if self._host.knows(request.txn) or request.txn in self.theirs:
+        if self._host.has_request(request.txn) or request.txn in self.theirs:
             return (yield from self._tell(stream, 409, b"a request of this id is being worked on"))
         connection.known = True
         name = self._settings.classes[job_class].name
-        if self._host.open >= self._most_jobs or self._host.held >= HELD * self._most_jobs:
+        if (
+            self._host.open_requests >= self._most_jobs
+            or self._host.tracked_requests >= HELD * self._most_jobs
+        ):
             # Guards the descriptors that instances' calls need, without which no job would ever end, and the
             # memory that clients could fill who leave at once and come again.
             self._metrics.ended(name, Ended.DEFERRED)
@@ -445,7 +448,7 @@
     def _working(self, connection: Connection, request: Request) -> Coroutine[bool]:
         """Hand a request to the host and wait for its answer."""
         connection.answer = None
-        request.gone = connection.stream.gone
+        request.client_gone = connection.stream.gone
         connection.job = self._host.submit(request, self._replying(connection))
         return (yield from self._awaiting(connection, connection.job))
 
@@ -453,7 +456,7 @@
         def reply(answer: Answer) -> None:
             connection.answer = answer
             if connection.task is not None:
-                connection.task.nudge()
+                connection.task.wake()
 
         return reply
 
@@ -465,10 +468,10 @@
             while (answer := connection.answer) is None:
                 early = stream.trailing() <= EARLY_BYTES
                 if early or self._loop.now() >= skip_from:
-                    woken = yield Wait(stream.fileno(), READABLE | ENDED)
+                    woken = yield Wait(stream.fileno(), READABLE | PEER_CLOSED)
                 else:
-                    woken = yield Wait(stream.fileno(), ENDED, skip_from)
-                if woken is Woken.NUDGED:
+                    woken = yield Wait(stream.fileno(), PEER_CLOSED, skip_from)
+                if woken is WaitResult.WOKEN:
                     continue
                 # Guards against a client that sends on and on: what it sends then is dropped, bit by bit. And
                 # against one that sends much and goes: its end is heard though it stands behind all that.
@@ -523,7 +526,7 @@
         memory=labels.get("memory", 0.0),
         key=read_key(pairs.get("k", "")),
         is_repeat=message.one(b"x-resent") == b"1",
-        hint=read_estimate(message),
+        cost_hint=read_estimate(message),
     )
 
 
@@ -560,7 +563,7 @@
     return zlib.crc32(text.encode()) if text else 0
 
 
-def read_call(data: bytes, settings: Settings) -> Call:
+def read_call(data: bytes, settings: Settings) -> InstanceCallback:
     """One call-back; raises ValueError if it is not in form."""
     try:
         value = json.loads(data)
@@ -571,13 +574,13 @@
     txn, instance = value.get("id"), value.get("from")
     if not isinstance(txn, str) or not isinstance(instance, str):
         raise ValueError("id or from is missing")
-    state = State(value.get("state"))
+    state = CallbackState(value.get("state"))
     result, share = value.get("result"), value.get("share", 0.0)
-    if state is State.DONE and not isinstance(result, str):
+    if state is CallbackState.DONE and not isinstance(result, str):
         raise ValueError("done without a result")
     if isinstance(share, bool) or not isinstance(share, int | float):
         raise ValueError("share is not a number")
-    return Call(
+    return InstanceCallback(
         txn,
         WorkerId(instance.encode("utf-8", "surrogatepass")),
         state,
--- a/pulleyroute/net/handover.py
+++ b/pulleyroute/net/handover.py
@@ -36,7 +36,7 @@
 from pulleyroute.net.host import Host
 from pulleyroute.net.lifecycle import Phase
 from pulleyroute.net.loop import READABLE, WRITABLE, Coroutine, Loop, Task, Wait
-from pulleyroute.net.requests import Call
+from pulleyroute.net.requests import InstanceCallback
 
 VERSION = 1
 LARGEST = 180 * 1024  # of a message: a body of 64 KiB and a head, within what a socket's buffer takes
@@ -278,7 +278,7 @@
                     # At once: what discovery has told the old one since is not to be missed.
                     self._discovery.watch(True)
                 for item in values.get("known", []):
-                    self._host.learn(item, link.shift)
+                    self._host.import_state(item, link.shift)
         except Exception as exc:
             # Guards the start: whatever the old process says, the new one has to serve.
             logger.bind(event="handover.unreadable").opt(exception=exc).error(
@@ -354,7 +354,7 @@
 
     def _telling(self, link: Link) -> Coroutine[None]:
         """Tell the state, in parts that a socket takes."""
-        known = self._host.knowledge()
+        known = self._host.export_state()
         members = self._discovery.entries()
         usable = self._discovery.freshness.usable
         parts: list[Values] = [{"phase": self._clients.lifecycle.phase.value, "usable": usable}]
@@ -380,7 +380,7 @@
         while not link.closed:
             descriptors, held = self._budgets.held()
             # Those that could not move yet: their ids are taken for both processes.
-            link.send("share", {"descriptors": descriptors, "bytes": held, "jobs": self._host.ids()})
+            link.send("share", {"descriptors": descriptors, "bytes": held, "jobs": self._host.request_ids()})
             yield Wait(until=self._loop.now() + SHARE_PAUSE)
 
     def _taken_back(self) -> None:
@@ -392,7 +392,7 @@
 
     # Call-backs
 
-    def elsewhere(self, call: Call, body: bytes) -> Coroutine[bool]:
+    def elsewhere(self, call: InstanceCallback, body: bytes) -> Coroutine[bool]:
         """A call-back for a job that is not here; False if the holder may not have heard it."""
         for link in (self._before, self._after):
             if link is not None:
@@ -400,7 +400,7 @@
                 if heard is not False:
                     return heard is True
         # Nobody has it, or it moved here while its call-back was asked about: then it is known by now.
-        self._host.call(call)
+        self._host.handle_callback(call)
         return True
 
     def _ask(self, link: Link, txn: str, body: bytes) -> Coroutine[bool | None]:
@@ -421,8 +421,8 @@
             if values["number"] in self._asked:
                 self._asked[values["number"]] = bool(values["heard"])
         elif kind == "call":
-            if self._host.knows(values["txn"]):
-                self._host.call(read_call(body, self._clients.settings))
+            if self._host.has_request(values["txn"]):
+                self._host.handle_callback(read_call(body, self._clients.settings))
                 link.send("called", {"number": values["number"], "heard": True})
                 return
             on = self._before if link is self._after else self._after
--- a/pulleyroute/net/host.py
+++ b/pulleyroute/net/host.py
@@ -18,7 +18,16 @@
 from pulleyroute.net.discovery import DiscoveryClient
 from pulleyroute.net.instance import Attempt
 from pulleyroute.net.loop import Loop
-from pulleyroute.net.requests import Answer, Back, Call, Ending, Job, Reply, Request, State
+from pulleyroute.net.requests import (
+    Answer,
+    CallbackState,
+    Ending,
+    InstanceCallback,
+    InstanceTransport,
+    Job,
+    Reply,
+    Request,
+)
 from pulleyroute.rules import PROVEN_NOT_RUN, Dispatcher
 
 # Answers leave this long before the client gives up: later, one would find nobody there
@@ -34,10 +43,10 @@
 GUARD = 20_000  # after a job's own deadline the host answers whatever the module says
 
 _ENDS = {
-    State.DONE: Outcome.OK,
-    State.FAILED: Outcome.ERROR,
-    State.RETURNED: Outcome.FULL,
-    State.LOST: Outcome.RESET,
+    CallbackState.DONE: Outcome.OK,
+    CallbackState.FAILED: Outcome.ERROR,
+    CallbackState.RETURNED: Outcome.FULL,
+    CallbackState.LOST: Outcome.RESET,
 }
 
 
@@ -57,7 +66,12 @@
     """Owns the dispatcher, the jobs, their attempts and deadlines."""
 
     def __init__(
-        self, loop: Loop, settings: Settings, seed: int, discovery: DiscoveryClient, instances: Back
+        self,
+        loop: Loop,
+        settings: Settings,
+        seed: int,
+        discovery: DiscoveryClient,
+        instances: InstanceTransport,
     ) -> None:
         self._loop = loop
         self._settings = settings
@@ -70,7 +84,7 @@
         self._events: deque[api.Event] = deque()
         self._draining = False
         self._now = loop.now()
-        self.open = 0  # requests that still wait for their answer
+        self.open_requests = 0  # requests that still wait for their answer
         self.faults = 0  # exceptions of the module
         self.retired = False  # no request comes any more: with the last one its timers end
         discovery.tell = self.post
@@ -149,11 +163,11 @@
     # Requests
 
     @property
-    def held(self) -> int:
+    def tracked_requests(self) -> int:
         """Requests not forgotten: the open ones, and those whose attempts outlive them."""
         return len(self._jobs)
 
-    def knows(self, txn: str) -> bool:
+    def has_request(self, txn: str) -> bool:
         """Whether a request of this id is being worked on."""
         return txn in self._by_txn
 
@@ -185,7 +199,7 @@
                 job.deadline - self._loop.now(),
                 request.slots,
                 request.memory,
-                cost_hint=request.hint,
+                cost_hint=request.cost_hint,
                 key=request.key,
                 is_repeat=request.is_repeat,
             )
@@ -218,11 +232,11 @@
         """A job is taken: it is found by its number and its id, and is answered in time."""
         self._jobs[job.number] = job
         self._by_txn[job.request.txn] = job
-        self.open += 1
+        self.open_requests += 1
         guard = job.deadline + GUARD
         if job.request.answer_by is not None:
             guard = min(guard, job.request.answer_by)
-        job.guard = self._loop.call_at(guard, lambda: self._overdue(job))
+        job.answer_timer = self._loop.call_at(guard, lambda: self._overdue(job))
 
     def abandon(self, job: Job, stop: bool = False) -> None:
         """The client is gone; with `stop`, so that its attempts are to end too."""
@@ -236,16 +250,16 @@
 
     # Another process of this dispatcher
 
-    def ids(self) -> list[str]:
+    def request_ids(self) -> list[str]:
         """Of the jobs that are being worked on."""
         return list(self._by_txn)
 
-    def knowledge(self) -> list[dict[str, Any]]:
+    def export_state(self) -> list[dict[str, Any]]:
         """What the decisions know: in general, then of each instance."""
         rules = self._dispatcher
         return [snapshot.knowledge(rules), *map(snapshot.worker, rules.workers.values())]
 
-    def learn(self, values: dict[str, Any], shift: int) -> None:
+    def import_state(self, values: dict[str, Any], shift: int) -> None:
         """Take over one item of another's knowledge; `shift` turns its clock into this one."""
         if "id" in values:
             snapshot.learn_worker(self._dispatcher, values, shift)
@@ -281,7 +295,13 @@
         if values["rules"] is not None:
             self._carry_out(
                 snapshot.learn_job(
-                    self._dispatcher, self._loop.now(), job.number, job.cls, job.most, values["rules"], shift
+                    self._dispatcher,
+                    self._loop.now(),
+                    job.number,
+                    job.cls,
+                    job.max_attempts,
+                    values["rules"],
+                    shift,
                 )
             )
         return job
@@ -303,17 +323,17 @@
                 )
             self.post(api.AttemptStarted(job.number, attempt.index, attempt.instance))
 
-    def begin(self, attempt: Attempt) -> bool:
+    def begin_answer(self, attempt: Attempt) -> bool:
         """The answer begins to flow from this attempt; False if it may not, since another one is bound.
 
         From here on the request goes out no more (gRFC A6, "committed"): another attempt's answer would
         follow the beginning of this one.
         """
         job = self._by_txn.get(attempt.txn)
-        if job is None or job.answered or attempt.over or job.bound not in (None, attempt):
+        if job is None or job.answered or attempt.over or job.answering_attempt not in (None, attempt):
             return False
-        if job.bound is None:
-            job.bound = attempt
+        if job.answering_attempt is None:
+            job.answering_attempt = attempt
             self.post(api.StreamBegan(job.number, attempt.index, attempt.instance))
             for other in [e for e in job.attempts if e is not attempt and not e.over]:
                 self._stop(other, Outcome.CANCELLED)
@@ -322,10 +342,10 @@
     def _conclude(self, job: Job) -> None:
         job.answered = True
         job.request.body = b""  # its attempts may outlive it for long, and would keep the body
-        self.open -= 1
-        if job.guard is not None:
-            job.guard.cancel()
-            job.guard = None
+        self.open_requests -= 1
+        if job.answer_timer is not None:
+            job.answer_timer.cancel()
+            job.answer_timer = None
 
     def _answer(self, job: Job, answer: Answer) -> None:
         """The one final answer."""
@@ -338,7 +358,7 @@
                 cls=cls,
                 outcome=answer.ending.value,
                 attempts=len(job.attempts),
-                took=self._loop.now() - job.taken,
+                took=self._loop.now() - job.accepted_at,
             ).info("request {} {}: {}", job.request.txn, answer.ending.value, _history(job))
         if log.debugging:
             log.event(
@@ -347,7 +367,7 @@
                 cls=job.cls.name,
                 ending=answer.ending.value,
                 attempts=len(job.attempts),
-                took=self._loop.now() - job.taken,
+                took=self._loop.now() - job.accepted_at,
             )
         job.reply(answer)
         self._forget(job)
@@ -363,7 +383,7 @@
 
     def _overdue(self, job: Job) -> None:
         # Without this a request on which the module stays silent would never be answered.
-        job.guard = None
+        job.answer_timer = None
         if job.answered:
             return
         if self._loop.now() < job.deadline:  # this process ends before
@@ -417,10 +437,10 @@
             job.answered
             # Without the next two, what is bound would go out again, and a request whose beginning is gone
             # would go out without it (gRFC A6).
-            or job.bound is not None
-            or (job.committed and attempt.index > 0)
+            or job.answering_attempt is not None
+            or (job.replay_dropped and attempt.index > 0)
             or attempt.timeout_at <= self._now
-            or attempt.index >= job.most
+            or attempt.index >= job.max_attempts
             # Calls name no attempt: with two of a request at one instance, a late call on the earlier one
             # would be taken for the later one's.
             or not all(_silent(e) for e in earlier)
@@ -442,7 +462,7 @@
             index=attempt.index,
             instance=attempt.instance.decode(),
             cls=job.cls.name,
-            waited=self._now - job.taken,
+            waited=self._now - job.accepted_at,
             zone=self._settings.zone,
             to=worker.zone,
             free="-" if worker.free is None else round(worker.free, 2),
@@ -479,7 +499,7 @@
         job = self._by_txn.get(attempt.txn)
         if job is None or attempt.over or attempt.stopping:
             return False
-        if not job.answered and job.request.gone is not None and job.request.gone():
+        if not job.answered and job.request.client_gone is not None and job.request.client_gone():
             # Without this an instance would work for nobody: the client's end may stand unread behind other
             # bytes (test_what_has_not_begun_when_its_client_goes_does_not_begin).
             self.abandon(job)
@@ -534,8 +554,8 @@
         job = self._by_txn[attempt.txn]
         if ending is None and outcome is Outcome.OK:
             ending = Ending.SERVED
-        elif ending is None and (job.bound is attempt or job.committed):
-            harmless = job.bound is None and outcome in PROVEN_NOT_RUN and not self._harmful(job)
+        elif ending is None and (job.answering_attempt is attempt or job.replay_dropped):
+            harmless = job.answering_attempt is None and outcome in PROVEN_NOT_RUN and not self._harmful(job)
             ending = Ending.REFUSED if harmless else Ending.FAILED
         if ending is not None and not job.answered:
             self._answer(job, Answer(ending, result, late=self._late(job) and ending is not Ending.SERVED))
@@ -586,7 +606,7 @@
         job = self._jobs.get(action.job)
         if job is not None and action.attempt < len(job.attempts):
             attempt = job.attempts[action.attempt]
-            if attempt.over or attempt.stopping or job.bound is attempt:
+            if attempt.over or attempt.stopping or job.answering_attempt is attempt:
                 return
             if self._settings.second_copies or job.answered:
                 self._stop(attempt, Outcome.CANCELLED)
@@ -609,7 +629,7 @@
             outcome = Outcome.MOOT  # its last byte never left: it never ran
         self.settle(attempt, outcome, None)
 
-    def call(self, call: Call) -> None:
+    def handle_callback(self, call: InstanceCallback) -> None:
         """An instance's word on an attempt; stale, repeated and unknown ones change nothing."""
         job = self._by_txn.get(call.txn)
         if job is None:
@@ -621,9 +641,9 @@
                 break
         else:
             return
-        if call.state is State.STARTED:
+        if call.state is CallbackState.STARTED:
             self.started(attempt)
-        elif call.state is State.RUNNING:
+        elif call.state is CallbackState.RUNNING:
             self.post(api.AttemptProgress(job.number, attempt.index, attempt.instance, call.share))
         else:
             self.settle(attempt, _ENDS[call.state], call.report, call.result)
--- a/pulleyroute/net/http.py
+++ b/pulleyroute/net/http.py
@@ -15,7 +15,7 @@
 import h11
 
 from pulleyroute.net.buffers import BufferPool, Ledger
-from pulleyroute.net.loop import READABLE, WRITABLE, Coroutine, Loop, Wait, Woken
+from pulleyroute.net.loop import READABLE, WRITABLE, Coroutine, Loop, Wait, WaitResult
 
 HEAD_LIMIT = 16 * 1024
 BODY_LIMIT = 64 * 1024
@@ -173,7 +173,7 @@
                 raise Broken(str(exc)) from None
             if not rest:
                 return
-            if (yield Wait(self.fileno(), WRITABLE, until)) is Woken.LATE:
+            if (yield Wait(self.fileno(), WRITABLE, until)) is WaitResult.TIMED_OUT:
                 raise Late
 
     def frame(self, head: h11.Request | h11.Response, body: bytes) -> bytes:
@@ -200,7 +200,7 @@
             if self._h11.they_are_waiting_for_100_continue:
                 head = self._h11.send(h11.InformationalResponse(status_code=100, headers=[]))
                 yield from self.send(head or b"", until)
-            if self.pull() is None and (yield Wait(self.fileno(), READABLE, until)) is Woken.LATE:
+            if self.pull() is None and (yield Wait(self.fileno(), READABLE, until)) is WaitResult.TIMED_OUT:
                 raise Late
 
     def body(self, until: int | None, limit: int = BODY_LIMIT) -> Coroutine[bytes]:
@@ -292,7 +292,7 @@
                 if count == 0:
                     return
                 seen += count or 0
-                if count is None and (yield Wait(self.fileno(), READABLE, until)) is Woken.LATE:
+                if count is None and (yield Wait(self.fileno(), READABLE, until)) is WaitResult.TIMED_OUT:
                     return
         except (Broken, OSError):
             return
@@ -336,7 +336,7 @@
             sock.connect(address)
         except BlockingIOError:
             while True:
-                if (yield Wait(sock.fileno(), WRITABLE, until)) is Woken.LATE:
+                if (yield Wait(sock.fileno(), WRITABLE, until)) is WaitResult.TIMED_OUT:
                     raise Late from None
                 error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
                 if error:
--- a/pulleyroute/net/http2.py
+++ b/pulleyroute/net/http2.py
@@ -31,7 +31,7 @@
 from pulleyroute.net.header_encoding import PlainEncoder
 from pulleyroute.net.http import Broken, Headers
 from pulleyroute.net.http2_frames import LARGEST_INCREMENT, Merger, TooLong, data_frame, frame_of
-from pulleyroute.net.loop import READABLE, WRITABLE, Coroutine, Loop, Task, Timer, Wait, Woken
+from pulleyroute.net.loop import READABLE, WRITABLE, Coroutine, Loop, Task, Timer, Wait, WaitResult
 from pulleyroute.net.tls import Tls
 
 Code = h2.errors.ErrorCodes
@@ -379,7 +379,7 @@
 
     def _stir(self) -> None:
         if not self._inside and self.task is not None:
-            self.task.nudge()
+            self.task.wake()
 
     def give_back(self, stream: Stream, count: int) -> None:
         if self.has(stream):
@@ -471,7 +471,7 @@
 
     def _running(self) -> Coroutine[None]:
         why = "closed"
-        woken = Woken.READY
+        woken = WaitResult.READY
         fd = self._sock.fileno()
         reading, writing, both = Wait(fd, READABLE), Wait(fd, WRITABLE), Wait(fd, READABLE | WRITABLE)
         try:
@@ -481,7 +481,7 @@
             self._h2.increment_flow_control_window(CONNECTION_WINDOW)
             while True:
                 self._inside = True
-                if woken is not Woken.NUDGED:  # whoever nudges has something to send
+                if woken is not WaitResult.WOKEN:  # whoever nudges has something to send
                     self._read()
                 self._pump()
                 self._write()
@@ -535,7 +535,7 @@
     def _ring(self) -> None:
         self._alarm = None
         if self.task is not None:
-            self.task.nudge()
+            self.task.wake()
 
     def _until(self, now: int) -> int | None:
         """When to look again though nothing came."""
@@ -612,7 +612,7 @@
                     handler(self, event)
                 if self.closed:
                     return
-        self._loop.wakeup_pacing.note(plain)
+        self._loop.wakeup_pacing.record_read(plain)
 
     def _plain_data(self, number: int, body: bytes) -> bool:
         """DATA on a stream that surely may get it, past h2's frames and events; False leaves it to h2.
--- a/pulleyroute/net/instance.py
+++ b/pulleyroute/net/instance.py
@@ -352,7 +352,7 @@
         if attempt.task is not None and not attempt.task.done:
             # Guards against a second copy: a close gives up only what has no 202 yet, and that may have come
             # and wait to be read.
-            attempt.task.hear()
+            attempt.task.process_pending_read()
             attempt.task.cancel()
         if attempt.accepted:
             self._loop.spawn(self._deleting(attempt, given), "give-up")
--- a/pulleyroute/net/job_transfer.py
+++ b/pulleyroute/net/job_transfer.py
@@ -23,8 +23,8 @@
     out = [attempt for attempt in job.attempts if not attempt.over]
     return (
         not job.answered
-        and job.bound is None
-        and not job.committed
+        and job.answering_attempt is None
+        and not job.replay_dropped
         and bool(out)
         and all(each.accepted and not each.stopping for each in out)
     )
@@ -44,9 +44,9 @@
         "key": request.key,
         "is_repeat": request.is_repeat,
         "deadline": job.deadline,
-        "taken": job.taken,
+        "taken": job.accepted_at,
         "cls": snapshot.pack_class(job.cls),
-        "most": job.most,
+        "most": job.max_attempts,
         "rules": known,
         "executions": [
             {
--- a/pulleyroute/net/loop.py
+++ b/pulleyroute/net/loop.py
@@ -21,17 +21,17 @@
 
 READABLE = select.EPOLLIN
 WRITABLE = select.EPOLLOUT
-ENDED = select.EPOLLRDHUP  # by the peer, whether or not all bytes before that are read
-EVENTS_A_TURN = 256
-COMPACT_FROM = 256  # a heap this long is cleared of its cancelled timers once they are most of it
+PEER_CLOSED = select.EPOLLRDHUP  # by the peer, whether or not all bytes before that are read
+MAX_EVENTS_PER_TURN = 256
+COMPACT_MIN_TIMERS = 256  # a heap this long is cleared of its cancelled timers once they are most of it
 
 
-class Woken(Enum):
+class WaitResult(Enum):
     """How a wait ended."""
 
     READY = "ready"  # the socket may have something
-    LATE = "late"  # its time is over
-    NUDGED = "nudged"  # somebody called `Task.nudge`
+    TIMED_OUT = "timed out"  # its time is over
+    WOKEN = "woken"  # somebody called `Task.wake`
 
 
 @dataclass(slots=True, frozen=True)
@@ -43,7 +43,7 @@
     until: int | None = None
 
 
-Coroutine = Generator[Wait, Woken, T]
+Coroutine = Generator[Wait, WaitResult, T]
 
 
 class Timer:
@@ -68,9 +68,9 @@
     __slots__ = (
         "_begun",
         "_coroutine",
-        "_doomed",
+        "_cancel_pending",
         "_loop",
-        "_nudged",
+        "_wake_pending",
         "_queued",
         "_running",
         "_timer",
@@ -86,32 +86,32 @@
         self.done = False
         self.wait: Wait | None = None
         self._timer: Timer | None = None
-        self._begun = self._running = self._queued = self._nudged = self._doomed = False
+        self._begun = self._running = self._queued = self._wake_pending = self._cancel_pending = False
 
     def start(self) -> None:
         """Run up to the first wait."""
-        self.step(Woken.NUDGED)
+        self.step(WaitResult.WOKEN)
 
-    def nudge(self) -> None:
+    def wake(self) -> None:
         """End the wait that the task is in, or else its next one."""
         if self.done or self._queued:
             return
         if self.wait is None:
-            self._nudged = True
+            self._wake_pending = True
         else:
             self._queue()
 
-    def hear(self) -> None:
+    def process_pending_read(self) -> None:
         """If it waits for a descriptor, let it take what is there now, before the loop's next turn."""
         if not self.done and self.wait is not None and self.wait.fd >= 0:
-            self.step(Woken.READY)
+            self.step(WaitResult.READY)
 
     def cancel(self) -> None:
         """Close the coroutine where it stands; its `finally` blocks run."""
         if self.done:
             return
         if self._running:
-            self._doomed = True  # a generator cannot close itself: done once it yields
+            self._cancel_pending = True  # a generator cannot close itself: done once it yields
             return
         self._finish()
         try:
@@ -119,7 +119,7 @@
         except Exception as exc:
             self._loop.on_error(self.name, exc)
 
-    def step(self, woken: Woken) -> None:
+    def step(self, woken: WaitResult) -> None:
         """Resume the coroutine and take its next wait."""
         if self.done:
             return
@@ -140,12 +140,12 @@
             return
         finally:
             self._running = False
-        if self._doomed:
+        if self._cancel_pending:
             self.cancel()
             return
         self.wait = wait
-        if self._nudged:
-            self._nudged = False
+        if self._wake_pending:
+            self._wake_pending = False
             self._queue()
             return
         if wait.fd >= 0:
@@ -156,7 +156,7 @@
     def _late(self) -> None:
         self._timer = None
         if not self._queued:
-            self.step(Woken.LATE)
+            self.step(WaitResult.TIMED_OUT)
 
     def _queue(self) -> None:
         self._disarm()
@@ -165,7 +165,7 @@
 
     def run_queued(self) -> None:
         self._queued = False
-        self.step(Woken.NUDGED)
+        self.step(WaitResult.WOKEN)
 
     def _disarm(self) -> None:
         if self._timer is not None:
@@ -213,7 +213,7 @@
 
     def timer_cancelled(self) -> None:
         self._cancelled += 1
-        if len(self._timers) > COMPACT_FROM and self._cancelled * 2 > len(self._timers):
+        if len(self._timers) > COMPACT_MIN_TIMERS and self._cancelled * 2 > len(self._timers):
             self._timers = [entry for entry in self._timers if entry[2].action is not None]
             heapq.heapify(self._timers)
             self._cancelled = 0
@@ -251,14 +251,14 @@
 
     def turn(self, longest: float = 1.0) -> None:
         """Run what is due, waiting at most `longest` seconds for something to come."""
-        if self.wakeup_pacing.span and not self._queue:
-            rest = self.wakeup_pacing.rest(self.now())
-            if rest:
-                time.sleep(rest / 1e6)
-        for fd, _ in self._poll.poll(0 if self._queue else self._span(longest), EVENTS_A_TURN):
+        if self.wakeup_pacing.pause_us and not self._queue:
+            pause = self.wakeup_pacing.next_pause(self.now())
+            if pause:
+                time.sleep(pause / 1e6)
+        for fd, _ in self._poll.poll(0 if self._queue else self._span(longest), MAX_EVENTS_PER_TURN):
             task = self._watchers.get(fd)
             if task is not None:
-                task.step(Woken.READY)
+                task.step(WaitResult.READY)
             elif fd in self._masks:
                 self.forget(fd)  # guards against spinning: hang-ups are told of though nobody waits
         now = self.now()
--- a/pulleyroute/net/requests.py
+++ b/pulleyroute/net/requests.py
@@ -1,6 +1,7 @@
 """The types that a front, the host and the instances' side share: requests, answers, call-backs, jobs.
 
-A front hands the host a `Request` and gets one `Answer`; `Back` is what the host asks of the instances' side.
+A front hands the host a `Request` and gets one `Answer`; `InstanceTransport` is what the host asks of the
+instances' side.
 """
 
 from __future__ import annotations
@@ -52,13 +53,15 @@
     memory: float = 0.0
     key: int = 0
     is_repeat: bool = False
-    hint: int | None = None  # the client's guess of its work, in microseconds
+    cost_hint: int | None = None  # the client's guess of its work, in microseconds
     answer_by: int | None = None  # the clock's time, where this process will not be there for longer
     call: object = None  # what a front that streams binds to it; for its own back alone
-    gone: Callable[[], bool] | None = None  # asks whether its client has gone, where the front can tell
+    client_gone: Callable[[], bool] | None = (
+        None  # asks whether its client has gone, where the front can tell
+    )
 
 
-class State(Enum):
+class CallbackState(Enum):
     """What an instance tells of an attempt."""
 
     STARTED = "started"
@@ -79,28 +82,28 @@
     deadline: int
     # What it was taken under, whatever the settings say by now.
     cls: JobClass
-    most: int  # attempts
-    taken: int = 0
+    max_attempts: int  # attempts
+    accepted_at: int = 0
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False  # or nobody waits any more
-    guard: Timer | None = None
-    bound: Attempt | None = None  # its answer has begun to flow: no other attempt from here on
-    committed: bool = False  # the request is not whole any more: what is out is the last attempt
+    answer_timer: Timer | None = None
+    answering_attempt: Attempt | None = None  # its answer has begun to flow: no other attempt from here on
+    replay_dropped: bool = False  # the request is not whole any more: what is out is the last attempt
 
 
 @dataclass(slots=True)
-class Call:
+class InstanceCallback:
     """One call-back of an instance."""
 
     txn: str
     instance: WorkerId
-    state: State
+    state: CallbackState
     share: float = 0.0
     result: bytes = b""
     report: api.LoadReport | None = None
 
 
-class Back(Protocol):
+class InstanceTransport(Protocol):
     """The instances' side of one protocol. `Host` sets the four callbacks before it posts anything."""
 
     ended: Ended
--- a/pulleyroute/net/wakeup_pacing.py
+++ b/pulleyroute/net/wakeup_pacing.py
@@ -8,36 +8,36 @@
 
 from __future__ import annotations
 
-CLOSE = 250  # microseconds between two wake-ups that count as one after another
-ROW = 16  # so many of them before the first rest
+BURST_GAP_US = 250  # microseconds between two wake-ups that count as one after another
+BURST_WAKEUPS = 16  # so many of them before the first rest
 
 
 class WakeupPacing:
-    """One loop's. `span`: microseconds of a rest; 0 for never."""
+    """One loop's. `pause_us`: microseconds of a rest; 0 for never."""
 
-    __slots__ = ("_last", "_other", "_plain", "_row", "span")
+    __slots__ = ("_last", "_other", "_plain", "_row", "pause_us")
 
-    def __init__(self, span: int = 0) -> None:
-        self.span = span
+    def __init__(self, pause_us: int = 0) -> None:
+        self.pause_us = pause_us
         self._plain = self._other = False
         self._last = self._row = 0
 
-    def note(self, plain: bool) -> None:
+    def record_read(self, only_stream_data: bool) -> None:
         """A connection has read: nothing but a little stream data, or something else."""
-        if plain:
+        if only_stream_data:
             self._plain = True
         else:
             self._other = True
 
-    def rest(self, now: int) -> int:
+    def next_pause(self, now: int) -> int:
         """How many microseconds to rest before the next look; `now` in the same."""
-        if not self.span or not (self._plain or self._other):
+        if not self.pause_us or not (self._plain or self._other):
             return 0
         busy = self._plain and not self._other
         self._plain = self._other = False
-        self._row = self._row + 1 if busy and now - self._last < CLOSE else 0
+        self._row = self._row + 1 if busy and now - self._last < BURST_GAP_US else 0
         self._last = now
-        if self._row < ROW:
+        if self._row < BURST_WAKEUPS:
             return 0
-        self._last += self.span
-        return self.span
+        self._last += self.pause_us
+        return self.pause_us
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -84,7 +84,7 @@
         self._lifecycle = Lifecycle()
         self.status = 0  # that the process is to end with
         self.moved: Callable[[], None] = lambda: None  # hears of each change of phase
-        loop.wakeup_pacing.span = limits.rest if limits is not None else 50
+        loop.wakeup_pacing.pause_us = limits.rest if limits is not None else 50
         self._ledger = Ledger(int(memory * READ_SHARE))
         self.apply(config)
         if config.management is not None:
@@ -111,7 +111,7 @@
         """What is so at the moment, over all pools."""
         pools = list(self.pools.values())
         return Gauges(
-            sum(each.host.open for each in pools + self._retired),
+            sum(each.host.open_requests for each in pools + self._retired),
             sum(each.discovery.size for each in pools),
             sum(each.host.avoided for each in pools),
         )
@@ -383,7 +383,7 @@
     def _clear(self) -> None:
         """Forget replaced parts once they have finished."""
         for running in list(self._retired):
-            if not running.host.held:
+            if not running.host.tracked_requests:
                 if isinstance(running.back, Calls):
                     running.back.close()
                 running.discovery.watch(False)
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -13,7 +13,7 @@
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.lifecycle import Phase
 from tests.fleet.test_store import drive
-from tests.net.scene import SECOND, StillLoop
+from tests.net.scene import SECOND, ManualClockLoop
 
 
 class Service:
@@ -51,7 +51,7 @@
 
 class Fleet:
     def __init__(self, tmp_path, **bounds):
-        self.loop, self.log = StillLoop(), tmp_path / "log"
+        self.loop, self.log = ManualClockLoop(), tmp_path / "log"
         self.server = Server(self.loop, log=self.log)
         self.bounds = Bounds(**{"fleet": Part(count=1), "least_serving": 1, **bounds})
         self.services, self.agents, self.seed = {}, {}, 0
--- a/tests/fleet/test_link.py
+++ b/tests/fleet/test_link.py
@@ -8,12 +8,12 @@
 
 from pulleyroute.emulator.link import Link
 from pulleyroute.emulator.runner import Runner
-from tests.net.scene import SECOND, Peer, StillLoop
+from tests.net.scene import SECOND, ManualClockLoop, Peer
 
 
 @pytest.fixture
 def loop():
-    return StillLoop()
+    return ManualClockLoop()
 
 
 def pair(loop):
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -12,7 +12,7 @@
 from pulleyroute.fleet.store import Client, Compacted, Item, Lost, Turned, guard, right
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.loop import Loop
-from tests.net.scene import SECOND, StillLoop
+from tests.net.scene import SECOND, ManualClockLoop
 
 FOREVER = 1 << 62
 
@@ -21,7 +21,7 @@
     """Coroutines on a loop whose clock stands still until a wait needs it to move."""
 
     def __init__(self, tmp_path=None, servers=1):
-        self.loop = StillLoop()
+        self.loop = ManualClockLoop()
         self.log = tmp_path / "log" if tmp_path else None
         self.servers = [Server(self.loop, log=self.log) for _ in range(servers)]
         self.client = self.another()
--- a/tests/grpc/scene.py
+++ b/tests/grpc/scene.py
@@ -19,7 +19,7 @@
 from pulleyroute.net.discovery import DiscoveryClient
 from pulleyroute.net.host import Host
 from pulleyroute.net.http2 import GracefulConnection, Limits
-from tests.net.scene import SECOND, StillLoop
+from tests.net.scene import SECOND, ManualClockLoop
 
 HEAD = [(":status", "200"), ("content-type", "application/grpc")]
 
@@ -89,7 +89,7 @@
     """A scripted end of one HTTP/2 connection."""
 
     def __init__(
-        self, loop: StillLoop, sock: socket.socket, client: bool, settings: dict | None = None
+        self, loop: ManualClockLoop, sock: socket.socket, client: bool, settings: dict | None = None
     ) -> None:
         self.loop, self.sock = loop, sock
         sock.setblocking(False)
@@ -195,7 +195,7 @@
 class Box:
     """A scripted instance."""
 
-    def __init__(self, loop: StillLoop, settings: dict | None = None) -> None:
+    def __init__(self, loop: ManualClockLoop, settings: dict | None = None) -> None:
         self.loop, self.settings = loop, settings
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.sock.setblocking(False)
@@ -228,7 +228,7 @@
         context=None,
         slots: int = 10,
     ) -> None:
-        self.loop, pool = StillLoop(), BufferPool()
+        self.loop, pool = ManualClockLoop(), BufferPool()
         classes = [
             JobClass("safe", Effect.SAFE, 2 * SECOND, 10 * SECOND, 1.0),
             JobClass("charge", Effect.UNSAFE, 2 * SECOND, 10 * SECOND, 1.0),
@@ -317,5 +317,5 @@
         """Nothing is left anywhere: no call, no attempt, no held byte."""
         for _ in range(5):
             self.loop.settle()
-        left = len(self.front.calls) + self.host.held + self.back.open + self.front.ledger.held
+        left = len(self.front.calls) + self.host.tracked_requests + self.back.open + self.front.ledger.held
         return left == 0
--- a/tests/grpc/test_calls.py
+++ b/tests/grpc/test_calls.py
@@ -296,7 +296,7 @@
 def test_nothing_new_goes_to_an_instance_that_left_while_its_connection_came_up():
     scene = Scene()
     call = scene.call(CHARGE, timeout="1S")
-    scene.loop.until(lambda: scene.host.held)
+    scene.loop.until(lambda: scene.host.tracked_requests)
     scene.list("s-0", phase="leaving")
     assert scene.untouched()
     scene.loop.skip(SECOND)
@@ -538,7 +538,7 @@
 
         patch.setattr("pulleyroute.net.http.socket.socket", poor)
         call = client.call(CHARGE, b"x")
-        scene.loop.until(lambda: scene.host.held and not scene.back.open)
+        scene.loop.until(lambda: scene.host.tracked_requests and not scene.back.open)
     assert not scene.host.avoided and not scene.loop.errors
     scene.again().whole().answer(b"y")
     assert call.status() == 0 and scene.done()
--- a/tests/grpc/test_campaign.py
+++ b/tests/grpc/test_campaign.py
@@ -36,14 +36,14 @@
 
 
 def test_a_dispatcher_that_resends_what_has_begun_is_caught(monkeypatch):
-    begin = Host.begin
+    begin = Host.begin_answer
 
     def forgetful(self, attempt):
         went = begin(self, attempt)
-        self._by_txn[attempt.txn].bound = None
+        self._by_txn[attempt.txn].answering_attempt = None
         return went
 
-    monkeypatch.setattr(Host, "begin", forgetful)
+    monkeypatch.setattr(Host, "begin_answer", forgetful)
     assert any("answer had begun" in line or "endings" in line for line in play().broken)
 
 
--- a/tests/lab/test_upgrade.py
+++ b/tests/lab/test_upgrade.py
@@ -17,7 +17,7 @@
 """
 NO_RELAY = """
 def elsewhere(self, call, body):
-    self._host.call(call)
+    self._host.handle_callback(call)
     return True
     yield
 handover.Handover.elsewhere = elsewhere
--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -11,7 +11,7 @@
     Scene.made.clear()
     yield
     for scene in Scene.made:
-        scene.leave()
+        scene.close()
 
 
 @pytest.fixture
--- a/tests/net/scene.py
+++ b/tests/net/scene.py
@@ -56,7 +56,7 @@
 GIVEN_TIME = 60  # real seconds that a test waits for loopback at most; only a broken program needs them
 
 
-class StillLoop(Loop):
+class ManualClockLoop(Loop):
     """Time passes only by `skip`."""
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
 class Peer:
     """A scripted end of one connection."""
 
-    def __init__(self, loop: StillLoop, sock: socket.socket) -> None:
+    def __init__(self, loop: ManualClockLoop, sock: socket.socket) -> None:
         self.loop, self.sock, self.data, self.ended = loop, sock, b"", False
         sock.setblocking(False)
 
@@ -131,7 +131,7 @@
 class Listener:
     """A scripted instance or discovery."""
 
-    def __init__(self, loop: StillLoop, address: tuple[str, int] = ("127.0.0.1", 0)) -> None:
+    def __init__(self, loop: ManualClockLoop, address: tuple[str, int] = ("127.0.0.1", 0)) -> None:
         self.loop = loop
         self.sock = socket.create_server(address)
         self.sock.setblocking(False)
@@ -175,7 +175,7 @@
         """`beside`: another process of the same dispatcher, in the same world."""
         info = {**info, "caps": {**info["caps"], **caps}}
         self.settings: Settings = read_settings(info)[0]
-        self.loop, pool = beside.loop if beside else StillLoop(), BufferPool()
+        self.loop, pool = beside.loop if beside else ManualClockLoop(), BufferPool()
         self.metrics = Metrics()
         self.discovery_peer = beside.discovery_peer if beside else Listener(self.loop)
         self.discovery = DiscoveryClient(self.loop, pool, self.discovery_peer.address, self.settings, 0)
@@ -196,13 +196,13 @@
         if listens:
             self.serve()
 
-    def leave(self) -> None:
+    def close(self) -> None:
         """End what is open, while all of it is whole; nothing of the clients' side may stay behind."""
         self.clients.listener.pause()
         for connection in list(self.clients._connections):
             connection.task.cancel()
         self.loop.settle()
-        assert not self.clients._connections and not self.ledger.held and not self.host.open
+        assert not self.clients._connections and not self.ledger.held and not self.host.open_requests
         lines = (self.clients._idle, self.clients._silent, self.clients._begun, self.clients._lingering)
         assert not any(lines)
 
@@ -231,20 +231,20 @@
     def client(self) -> Peer:
         return Peer(self.loop, socket.create_connection(self.clients.address))
 
-    def known(self) -> Peer:
+    def known_client(self) -> Peer:
         """A client that is no stranger any more."""
         peer = self.client()
         peer.send(READY)
         assert b" 200 " in peer.message()[0]
         return peer
 
-    def gone(self, peer: Peer) -> None:
+    def wait_until_closed(self, peer: Peer) -> None:
         """Wait until its connection has ended."""
         self.loop.until(lambda: peer.pull() is not None and peer.ended)
 
     def take(self, txn: str, accept: bool = True) -> tuple[str, Peer]:
         """Play the instance that the job's last attempt went to: its name and the connection."""
-        self.loop.until(lambda: self.host.knows(txn))
+        self.loop.until(lambda: self.host.has_request(txn))
         attempt = self.host._by_txn[txn].attempts[-1]
         peer = self.runners[attempt.instance.decode()].accept()
         peer.message()
@@ -261,7 +261,7 @@
     def operate(self, method: str, path: str) -> tuple[int, bytes]:
         return operate(self.loop, self.admin.listener.address, method, path)
 
-    def shown(self) -> dict[str, int]:
+    def nonzero_metrics(self) -> dict[str, int]:
         """The metrics, less those that are 0."""
         lines = self.operate("GET", "/status/metrics")[1].decode().splitlines()
         each = [re.fullmatch(r"app\.([a-z_.]+):(\d+)\|[cg]", line) for line in lines]
@@ -295,7 +295,7 @@
         return status
 
 
-def operate(loop: StillLoop, admin: tuple[str, int], method: str, path: str) -> tuple[int, bytes]:
+def operate(loop: ManualClockLoop, admin: tuple[str, int], method: str, path: str) -> tuple[int, bytes]:
     """An operator's call: its status and the body of the answer; then its connection has to end."""
     peer = Peer(loop, socket.create_connection(admin))
     peer.send(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
--- a/tests/net/test_deployments.py
+++ b/tests/net/test_deployments.py
@@ -123,7 +123,7 @@
     client = scene.ask()
     _, peer = scene.take("t1")
     client.close()
-    scene.loop.until(lambda: not scene.host.open)
+    scene.loop.until(lambda: not scene.host.open_requests)
     scene.loop.settle()
     assert peer.pull().startswith(b"DELETE /jobs/t1 ") is cancels  # on the connection that was kept
 
@@ -156,9 +156,9 @@
     for runner in scene.runners.values():
         runner.sock.close()  # each refuses its connection: the job never runs
     client = scene.ask()
-    scene.loop.until(lambda: scene.host.knows("t1"))
+    scene.loop.until(lambda: scene.host.has_request("t1"))
     tried = scene.host._by_txn["t1"].attempts
-    while scene.host.open:
+    while scene.host.open_requests:
         scene.loop.settle()
         scene.loop.skip(100 * MS)
     assert b" 503 " in client.message()[0] and len(tried) == most
--- a/tests/net/test_downstream.py
+++ b/tests/net/test_downstream.py
@@ -69,7 +69,7 @@
     else:
         peer.send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         assert b" 200 " in peer.message()[0]
-    assert not scene.host.open and not scene.loop.errors
+    assert not scene.host.open_requests and not scene.loop.errors
 
 
 def test_unknown_labels_are_passed_over_and_a_client_may_wait_for_100():
@@ -79,7 +79,7 @@
     peer.send(body.replace(b": 100\r", b": 4000\r"))
     assert b" 100 " in peer.message()[0]
     peer.send(b"ok")
-    scene.loop.until(lambda: scene.host.open)
+    scene.loop.until(lambda: scene.host.open_requests)
     request = scene.host._jobs[1].request
     assert (request.body, request.memory) == (b"ok", 2.0)
 
@@ -104,7 +104,7 @@
         "POST /read HTTP/1.1\r\nHost: api\r\nX-Txn: t1\r\nX-Remaining-Ms: 4000\r\n"
         f"{estimates}Content-Length: 0\r\n\r\n".encode()
     )
-    scene.loop.until(lambda: scene.host.knows("t1"))
+    scene.loop.until(lambda: scene.host.has_request("t1"))
     assert scene.host._dispatcher.jobs[1].hint == hint
     assert sum("estimate" in line for line in logged) == (1 if told and hint is None else 0)
 
@@ -134,16 +134,16 @@
         client = scene.ask(txn=f"t{n}")
         scene.runners["s-0"].accept().message()
         client.close()
-        scene.loop.until(lambda: not scene.host.open)
-    assert scene.host.held == 2  # the attempts are still out
+        scene.loop.until(lambda: not scene.host.open_requests)
+    assert scene.host.tracked_requests == 2  # the attempts are still out
     assert b" 503 " in scene.ask(txn="t9").message()[0]
 
 
 def test_the_longest_idle_connection_makes_room_for_a_new_one():
     scene = Scene(most=2)
-    old, new = scene.known(), scene.known()
+    old, new = scene.known_client(), scene.known_client()
     third = scene.ask(txn="t3")
-    scene.loop.until(lambda: scene.host.open)
+    scene.loop.until(lambda: scene.host.open_requests)
     scene.loop.until(lambda: old.pull() is not None and old.ended)
     assert not new.ended
     third.close()
@@ -152,18 +152,18 @@
 def test_silent_strangers_are_shed_before_known_clients_and_not_before_their_request_can_have_come():
     # Guards usual clients and the instances' calls against hundreds that connect and say nothing.
     scene = Scene(most=3)
-    idle, silent, begun = scene.known(), scene.client(), scene.client()
+    idle, silent, begun = scene.known_client(), scene.client(), scene.client()
     begun.send(GOOD[:30])
     scene.loop.settle()
     third = scene.ask(txn="t3")
     scene.loop.settle()
     scene.loop.skip(50_000)
-    assert not scene.host.open and not silent.pull()
+    assert not scene.host.open_requests and not silent.pull()
     scene.loop.skip(200_000)
-    scene.loop.until(lambda: scene.host.open)
+    scene.loop.until(lambda: scene.host.open_requests)
     assert b" 503 " in silent.message()[0] and not begun.pull()
     fourth = scene.ask(txn="t4")
-    scene.loop.until(lambda: scene.host.open == 2)
+    scene.loop.until(lambda: scene.host.open_requests == 2)
     head = begun.message()[0]
     assert b" 503 " in head and b"Retry-After" in head
     for peer in (third, fourth, idle):
@@ -176,7 +176,7 @@
 )
 def test_a_stranger_gets_an_error_within_three_seconds_and_a_known_client_keeps_its_idle_time(sent):
     scene = Scene()
-    idle, stranger = scene.known(), scene.client()
+    idle, stranger = scene.known_client(), scene.client()
     if sent:
         stranger.send(sent)
     scene.loop.settle()
@@ -192,7 +192,7 @@
 
 def test_one_client_that_sends_request_after_request_gets_one_a_turn():
     scene = Scene()
-    greedy = scene.known()
+    greedy = scene.known_client()
     greedy.send(READY * 50)
     scene.loop.turn(0.1)
     assert greedy.pull().count(b" 200 ") <= 2
@@ -201,9 +201,9 @@
 
 def test_requests_beyond_the_memory_are_turned_away_and_what_is_answered_counts_no_more():
     scene = Scene()
-    scene.ledger.most = 1000
+    scene.ledger.limit = 1000
     first, second = (scene.ask(txn=txn, body=b"x" * 700) for txn in ("t1", "t2"))
-    scene.loop.until(lambda: scene.host.open == 2)  # whole requests are served; nothing more is read
+    scene.loop.until(lambda: scene.host.open_requests == 2)  # whole requests are served; nothing more is read
     third = scene.client()
     third.send(GOOD[:30])
     head = third.message()[0]
@@ -234,7 +234,7 @@
     scene.loop.settle()
     assert len(calls) == 1  # it does not spin
     scene.loop.skip(SECOND)
-    scene.loop.until(lambda: scene.host.open)
+    scene.loop.until(lambda: scene.host.open_requests)
     client.close()
 
 
@@ -247,7 +247,7 @@
         scene.call(**{"id": txn, "from": attempt.instance.decode(), "state": "done", "result": "r"})
 
     idle, kept, early = scene.client(), scene.ask("/charge", "t1"), scene.ask("/charge", "t2")
-    scene.loop.until(lambda: scene.host.open == 2)
+    scene.loop.until(lambda: scene.host.open_requests == 2)
     scene.clients.stop()
     probe = scene.client()
     probe.send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -256,7 +256,7 @@
     done("t1")
     assert b"connection: close" not in kept.message()[0].lower()
     scene.ask(txn="t3", peer=kept, remaining=5000)  # SIGKILL may come 3.7 s after SIGTERM: too early for it
-    scene.loop.until(lambda: scene.host.knows("t3"))
+    scene.loop.until(lambda: scene.host.has_request("t3"))
     scene.loop.skip(SECOND // 2)
     assert not idle.pull() and not idle.ended
     scene.loop.skip(SECOND)
@@ -264,7 +264,7 @@
     scene.loop.skip(SECOND + 100_000)
     head, _ = kept.message()
     assert b" 503 " in head and b"connection: close" in head.lower()
-    assert scene.host.open == 1 and not scene.loop.stopped  # t2 came in time and may go on
+    assert scene.host.open_requests == 1 and not scene.loop.stopped  # t2 came in time and may go on
     done("t2")
     head, body = early.message()
     assert b" 200 " in head and b"connection: close" in head.lower() and body == b"r"
@@ -280,7 +280,7 @@
     scene.runners["s-0"].accept().message()
     scene.call(**{"id": "t1", "from": "s-0", "state": "done", "result": "r"})
     assert b" 200 " in peer.message()[0]
-    scene.loop.until(lambda: scene.host.knows("t2"))
+    scene.loop.until(lambda: scene.host.has_request("t2"))
     slow = scene.client()
     slow.send(GOOD[:30])
     scene.loop.settle()
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -56,7 +56,7 @@
         self.host.abandon = lambda job: None
         for connection in list(self.clients._connections):
             connection.task.cancel()
-        self.host.open = 0
+        self.host.open_requests = 0
         for link in (self.handover._before, self.handover._after):
             if link is not None:
                 link.gone = lambda: None
@@ -96,14 +96,14 @@
 
 
 def test_connections_and_jobs_move_and_nobody_notices(old):
-    idle, silent = old.known(), old.client()
+    idle, silent = old.known_client(), old.client()
     client, instance, _ = open_job(old, "/charge", "t1")
     waiting, late, peer = open_job(old, "/read", "t2", accept=False)
     client.send(b"GET /-/re")  # sent ahead: the bytes are read already, and go with the job
     old.loop.settle()
     new = old.next()
-    passing(old, lambda: new.host.knows("t1"))
-    assert not old.host.knows("t1") and old.host.knows("t2") and new.clients.count == 3
+    passing(old, lambda: new.host.has_request("t1"))
+    assert not old.host.has_request("t1") and old.host.has_request("t2") and new.clients.count == 3
     assert b" 204 " in told(new, "t1", instance)
     head, body = client.message()
     assert b" 200 " in head and body == b"of t1" and b"close" not in head.lower()
@@ -112,13 +112,13 @@
     idle.send(READY)
     assert b" 200 " in idle.message()[0]
     new.ask("/read", "t3", peer=silent)
-    new.loop.until(lambda: new.host.knows("t3"))
+    new.loop.until(lambda: new.host.has_request("t3"))
     peer.send(TAKEN)  # now that its instance has it, it moves too
-    passing(old, lambda: new.host.knows("t2"))
+    passing(old, lambda: new.host.has_request("t2"))
     told(new, "t2", late)
     assert waiting.message()[1] == b"of t2"
-    assert not old.host.open and not old.clients.count and not old.loop.errors
-    assert new.shown() == {
+    assert not old.host.open_requests and not old.clients.count and not old.loop.errors
+    assert new.nonzero_metrics() == {
         "answered.charge": 1,
         "answered.read": 1,
         "current": 1,
@@ -133,7 +133,7 @@
 def test_what_becomes_of_a_job_that_moved_is_as_if_it_had_been_taken_there(old, path, again):
     client, instance, _ = open_job(old, path, "t1")
     new = old.next()
-    passing(old, lambda: new.host.knows("t1"))
+    passing(old, lambda: new.host.has_request("t1"))
     told(new, "t1", instance, "lost")
     new.loop.skip(SECOND)
     if not again:  # it may have run: never twice, through whatever process
@@ -149,7 +149,7 @@
 def test_a_job_that_moved_ends_in_time_and_is_given_up_where_it_runs(old):
     client, instance, _ = open_job(old, "/charge", "t1")
     new = old.next()
-    passing(old, lambda: new.host.knows("t1"))
+    passing(old, lambda: new.host.has_request("t1"))
     old.die()
     new.loop.skip(4 * SECOND)
     assert b" 502 " in client.message()[0]
@@ -172,7 +172,7 @@
     passing(old, lambda: new.clients.theirs)
     assert b" 409 " in new.ask("/charge", "t1").message()[0]
     peer.send(TAKEN)
-    passing(old, lambda: new.host.knows("t1"))
+    passing(old, lambda: new.host.has_request("t1"))
     assert b" 409 " in new.ask("/charge", "t1").message()[0]
     told(new, "t1", instance)
     assert client.message()[1] == b"of t1"
@@ -185,7 +185,7 @@
 
     def late(clients, *more):  # somebody takes the id at the last moment
         other.append(new.ask("/charge", "t1"))
-        new.loop.until(lambda: new.host.knows("t1"))
+        new.loop.until(lambda: new.host.has_request("t1"))
         receive(clients, *more)
 
     other = []
@@ -207,8 +207,8 @@
 
     monkeypatch.setattr(Link, "send", limited)
     new = old.next()
-    passing(old, lambda: new.host.knows("t0") and new.host.knows("t2"))
-    assert old.host.knows("t1")
+    passing(old, lambda: new.host.has_request("t0") and new.host.has_request("t2"))
+    assert old.host.has_request("t1")
     for n, (client, instance, _) in enumerate(jobs):
         told(new, f"t{n}", instance)
         assert client.message()[1] == f"of t{n}".encode()
@@ -263,7 +263,7 @@
 @pytest.mark.parametrize("number", range(len(MESSAGES)))
 def test_killed_before_any_message_no_job_is_with_both_or_sent_twice(old, monkeypatch, doomed, number):
     """What the one that stays has it answers; what the dead one had ends on its clients."""
-    idle = old.known()
+    idle = old.known_client()
     jobs = {txn: open_job(old, "/charge", txn, accept=txn != "t3") for txn in ("t1", "t2", "t3")}
     processes, seen, links, send = {"old": old}, [], {"old": [], "new": []}, Link.send
 
@@ -290,9 +290,9 @@
     stays = processes["new" if doomed == "old" else "old"]
     passing(old, lambda: stays.clients.lifecycle.ready)
     for txn, (client, instance, peer) in jobs.items():
-        assert not (old.host.knows(txn) and new.host.knows(txn))
-        if not stays.host.knows(txn):
-            stays.gone(client)
+        assert not (old.host.has_request(txn) and new.host.has_request(txn))
+        if not stays.host.has_request(txn):
+            stays.wait_until_closed(client)
             continue
         (attempt,) = stays.host._by_txn[txn].attempts
         if not attempt.accepted:
@@ -300,7 +300,7 @@
             stays.loop.until(lambda e=attempt: e.accepted)
         assert b" 204 " in told(stays, txn, instance)
         assert client.message()[1] == f"of {txn}".encode()
-    assert stays.known()
+    assert stays.known_client()
     monkeypatch.undo()
     if doomed == "new":
         assert old.next().clients.lifecycle.ready  # it can be met again
@@ -327,7 +327,7 @@
     new = old.next()
     assert new.clients.lifecycle.phase is Phase.STANDBY
     new.clients.active()
-    assert new.known()
+    assert new.known_client()
 
 
 def test_both_keep_within_one_limit_until_the_old_one_is_gone(old):
@@ -361,7 +361,7 @@
         folder = tmp_path / "none" if how == "no folder" else tmp_path
         new = Process(folder, platform)
         assert new.loop.time <= 1_000 * SECOND + STATE_TIME + SECOND // 10
-        assert new.known() and new.clients.lifecycle.ready
+        assert new.known_client() and new.clients.lifecycle.ready
     meeting.close()
 
 
--- a/tests/net/test_history.py
+++ b/tests/net/test_history.py
@@ -135,7 +135,11 @@
     for step in steps:
         referee.step(*step)
     referee.step("pass", 6 * SECOND // MS)
-    assert not referee.scene.host.open and not referee.scene.loop.errors and not referee.scene.host.faults
+    assert (
+        not referee.scene.host.open_requests
+        and not referee.scene.loop.errors
+        and not referee.scene.host.faults
+    )
     for sock in (
         referee.scene.discovery_peer.sock,
         referee.scene.clients.listener.sock,
--- a/tests/net/test_host.py
+++ b/tests/net/test_host.py
@@ -43,7 +43,7 @@
     assert b" 204 " in scene.call(**{"id": "t1", "from": "s-0", "state": "started"})
     assert b" 204 " in scene.call(**{"id": "t1", "from": "s-0", "state": "done", "result": 'é\n\0"x'})
     assert status(client) == (200, 'é\n\0"x'.encode())
-    assert not scene.host.open and not scene.loop.errors
+    assert not scene.host.open_requests and not scene.loop.errors
 
 
 def test_done_may_come_before_the_202_and_the_connection_is_used_again():
@@ -66,7 +66,9 @@
     runner.send(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
     assert status(client)[0] == 400
     scene.loop.skip(SECOND)
-    assert not scene.host.held and not any(w.blame for w in scene.host._dispatcher.workers.values())
+    assert not scene.host.tracked_requests and not any(
+        w.blame for w in scene.host._dispatcher.workers.values()
+    )
     assert scene.runners["s-1" if name == "s-0" else "s-0"].untouched()
 
 
@@ -110,7 +112,7 @@
     runner, _ = sent(scene)
     runner.send(TAKEN)
     assert b" 400 " in scene.call_raw(body)
-    assert scene.host.open == 1 and not client.pull()
+    assert scene.host.open_requests == 1 and not client.pull()
 
 
 @pytest.mark.parametrize("path", ["/read", "/charge"])
@@ -168,7 +170,7 @@
     runner, (head, _) = sent(scene)  # the first connection has been idle for too long
     assert head.startswith(b"DELETE /jobs/t1 HTTP/1.1")
     assert b" 204 " in scene.call(**{"id": "t1", "from": "s-0", "state": "done", "result": "late"})
-    assert not client.pull() and not scene.host.knows("t1")
+    assert not client.pull() and not scene.host.has_request("t1")
 
 
 def test_a_time_out_leaves_the_client_no_time_to_come_again():
@@ -177,7 +179,7 @@
     client = scene.ask()
     sent(scene)
     scene.loop.skip(3960 * MS)
-    assert not client.pull() and scene.host.open
+    assert not client.pull() and scene.host.open_requests
     scene.loop.skip(30 * MS)
     assert status(client)[0] == 502
 
@@ -197,9 +199,9 @@
     post, scene.host.post = scene.host.post, lambda event: (seen.append(event), post(event))
     client = scene.ask()
     other = scene.ask(txn="t2")
-    scene.loop.until(lambda: scene.host.open == 2)
+    scene.loop.until(lambda: scene.host.open_requests == 2)
     client.close()
-    scene.loop.until(lambda: scene.host.open == 1)
+    scene.loop.until(lambda: scene.host.open_requests == 1)
     assert [type(e) for e in seen if isinstance(e, JobExpired)] == [JobExpired]
     left, stayed = (scene.runners["s-0"].accept() for _ in range(2))
     assert b"t2" in stayed.message()[0]
@@ -245,7 +247,7 @@
     client = scene.ask()
     scene.loop.until(lambda: scene.host.faults)
     scene.loop.skip(4 * SECOND)
-    assert status(client)[0] == 502 and not scene.host.open
+    assert status(client)[0] == 502 and not scene.host.open_requests
 
 
 def test_a_client_that_claims_to_wait_for_days_does_not_make_all_others_late():
@@ -270,7 +272,7 @@
 def test_a_refusal_tells_when_to_come_back():
     scene = Scene()
     client = scene.ask("/charge")
-    scene.loop.until(lambda: scene.host.open)
+    scene.loop.until(lambda: scene.host.open_requests)
     job = scene.host._jobs[1]
     job.attempts.clear()
     scene.host._refuse(Refuse(1, retry_after=9 * SECOND))
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -12,8 +12,8 @@
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.http import Broken, Late, Malformed, Stream, connect, parse_address
 from pulleyroute.net.log import Sink
-from pulleyroute.net.loop import Wait, Woken
-from tests.net.scene import SECOND, StillLoop
+from pulleyroute.net.loop import Wait, WaitResult
+from tests.net.scene import SECOND, ManualClockLoop
 
 FIXED = settings(derandomize=True, max_examples=100, deadline=None)
 REQUEST = b"POST /read?k=1 HTTP/1.1\r\nHost: x\r\nX-Txn: t\r\nContent-Length: 5\r\n\r\nab\r\nc"
@@ -27,7 +27,7 @@
 
 def parse(server, pieces, end=False):
     """What a stream makes of the pieces, each read on its own."""
-    loop = StillLoop()
+    loop = ManualClockLoop()
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
     stream = Stream(loop, BufferPool(), ours, server)
@@ -85,7 +85,7 @@
 
 
 def test_a_partial_write_waits_and_only_the_last_byte_ends_it():
-    loop = StillLoop()
+    loop = ManualClockLoop()
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -107,7 +107,7 @@
 
 
 def test_writing_to_a_closed_peer_and_connecting_to_nobody_are_broken():
-    loop = StillLoop()
+    loop = ManualClockLoop()
     ours, theirs = socket.socketpair()
     theirs.close()
     seen = []
@@ -134,7 +134,7 @@
 
 
 def test_timers_come_in_order_once_and_not_when_cancelled():
-    loop = StillLoop()
+    loop = ManualClockLoop()
     seen = []
     timers = [loop.call_at(loop.now() + when, lambda when=when: seen.append(when)) for when in (30, 10, 20)]
     timers[2].cancel()
@@ -147,7 +147,7 @@
 
 
 def test_an_exception_ends_its_own_task_alone_and_a_nudge_is_never_lost():
-    loop = StillLoop()
+    loop = ManualClockLoop()
     seen = []
 
     def failing():
@@ -162,13 +162,13 @@
     task = loop.spawn(waiting(), "waiting")
     loop.skip(100)
     assert [type(e) for e in loop.errors] == [KeyError] and not seen
-    task.nudge()
-    task.nudge()
+    task.wake()
+    task.wake()
     loop.turn(0)
     loop.skip(SECOND)
-    assert seen == [Woken.NUDGED, Woken.LATE]
+    assert seen == [WaitResult.WOKEN, WaitResult.TIMED_OUT]
     task.cancel()
-    task.nudge()
+    task.wake()
     loop.skip(2 * SECOND)
     assert len(seen) == 2
 
--- a/tests/net/test_http2_frames.py
+++ b/tests/net/test_http2_frames.py
@@ -10,7 +10,7 @@
 
 from pulleyroute.net.header_encoding import KEPT, PlainEncoder
 from pulleyroute.net.http2_frames import Merger, TooLong, data_frame, frame_of
-from pulleyroute.net.wakeup_pacing import CLOSE, ROW, WakeupPacing
+from pulleyroute.net.wakeup_pacing import BURST_GAP_US, BURST_WAKEUPS, WakeupPacing
 
 OPEN = [(":method", "POST"), (":scheme", "http"), (":path", "/a.B/C"), (":authority", "x")]
 STEPS = st.lists(
@@ -136,16 +136,18 @@
     def rests(pacing, count, gap, other=None):
         found, now = [], 0
         for i in range(count):
-            pacing.note(True)
+            pacing.record_read(True)
             if i == other:
-                pacing.note(False)
-            found.append(pacing.rest(now))
+                pacing.record_read(False)
+            found.append(pacing.next_pause(now))
             now += gap + found[-1]
         return found
 
-    assert rests(WakeupPacing(50), ROW + 3, 40) == [0] * (ROW - 1) + [50] * 4
-    assert not any(rests(WakeupPacing(50), 100, CLOSE))  # one message and its answer: never held up
+    assert rests(WakeupPacing(50), BURST_WAKEUPS + 3, 40) == [0] * (BURST_WAKEUPS - 1) + [50] * 4
+    assert not any(rests(WakeupPacing(50), 100, BURST_GAP_US))  # one message and its answer: never held up
     assert not any(rests(WakeupPacing(0), 100, 40))
-    assert rests(WakeupPacing(50), 2 * ROW + 4, 40, other=ROW + 1)[ROW : ROW + 3] == [50, 0, 0]
+    assert rests(WakeupPacing(50), 2 * BURST_WAKEUPS + 4, 40, other=BURST_WAKEUPS + 1)[
+        BURST_WAKEUPS : BURST_WAKEUPS + 3
+    ] == [50, 0, 0]
     quiet = WakeupPacing(50)
-    assert [quiet.rest(i) for i in range(100)] == [0] * 100  # wake-ups for anything else
+    assert [quiet.next_pause(i) for i in range(100)] == [0] * 100  # wake-ups for anything else
--- a/tests/net/test_instance.py
+++ b/tests/net/test_instance.py
@@ -110,10 +110,10 @@
     with monkeypatch.context() as patch:
         patch.setattr(socket, "socket", none_left)
         scene.ask("/charge", peer=client)
-        scene.loop.until(lambda: scene.host.open)
+        scene.loop.until(lambda: scene.host.open_requests)
         scene.loop.settle()
     worker = scene.host._dispatcher.workers[b"s-0"]
-    assert not worker.holds and scene.host.open
+    assert not worker.holds and scene.host.open_requests
     scene.loop.skip(SECOND)
     assert b"X-Txn: t1" in scene.runners["s-0"].accept().message()[0]
 
@@ -125,7 +125,7 @@
     for n in range(4):
         txn = f"t{n}"
         client = scene.ask(txn=txn)
-        scene.loop.until(lambda txn=txn: scene.host.knows(txn))
+        scene.loop.until(lambda txn=txn: scene.host.has_request(txn))
         name = scene.host._by_txn[txn].attempts[0].instance.decode()
         if not seen or seen[-1] != name:
             open_at = {name: scene.runners[name].accept()}
--- a/tests/net/test_less_room.py
+++ b/tests/net/test_less_room.py
@@ -45,8 +45,8 @@
         call = callback(call)
         in_two(scene, back, call, at % len(call))
         assert b" 204 " in back.message()[0] and client.message()[1] == b"r"
-    assert scene.shown() == {"answered.read": length - 1, "sends": length - 1, "cluster_size": 1}
-    assert not scene.host.held and not scene.loop.errors
+    assert scene.nonzero_metrics() == {"answered.read": length - 1, "sends": length - 1, "cluster_size": 1}
+    assert not scene.host.tracked_requests and not scene.loop.errors
 
 
 def test_an_operators_call_may_be_cut_at_any_byte():
@@ -102,7 +102,7 @@
     if how == "walks off":
         client.close()
         scene.loop.settle()
-        assert not scene.host.open and scene.clients.count == descriptors
+        assert not scene.host.open_requests and scene.clients.count == descriptors
         if stage in ("taken", "started"):  # what runs for nobody is called off
             deleted = scene.runners["s-0"]
             head = runner.pull() or deleted.accept().message()[0]
@@ -110,6 +110,6 @@
     # Whatever it is that falls quiet: known clients may be idle for 90 s, nothing is held for longer.
     for _ in range(30):
         scene.loop.skip(4 * SECOND)
-    assert not scene.host.held and not scene.host.open and not scene.ledger.held
+    assert not scene.host.tracked_requests and not scene.host.open_requests and not scene.ledger.held
     assert scene.clients.count == descriptors and scene.instances.count == 0
     client.close()
--- a/tests/net/test_lifecycle.py
+++ b/tests/net/test_lifecycle.py
@@ -57,10 +57,10 @@
 
 def test_a_drain_sends_clients_elsewhere_and_loses_nothing():
     scene = Scene(instances=4)
-    idle, trickling, long, short = scene.known(), scene.known(), scene.client(), scene.client()
+    idle, trickling, long, short = scene.known_client(), scene.known_client(), scene.client(), scene.client()
     scene.ask("/charge", "t1", peer=long)
     scene.ask("/charge", "t2", peer=short)
-    scene.loop.until(lambda: scene.host.open == 2)
+    scene.loop.until(lambda: scene.host.open_requests == 2)
     trickling.send(b"POST /read HTTP/1.1\r\n")
     scene.clients.standby()
     scene.clients.standby()
@@ -73,27 +73,27 @@
     scene.loop.settle()
     assert not idle.pull() and not idle.ended  # the front has to see the no first
     scene.loop.skip(100_000)
-    scene.gone(idle)
+    scene.wait_until_closed(idle)
     late = scene.ask(txn="t3")  # taken in time: it is served
-    scene.loop.until(lambda: scene.host.knows("t3"))
+    scene.loop.until(lambda: scene.host.has_request("t3"))
     scene.loop.skip(800_000)
     assert b" 503 " in scene.ask(txn="t4").message()[0]
     scene.loop.skip(1_300_000)
     assert b" 503 " in trickling.message()[0]
-    scene.gone(trickling)
+    scene.wait_until_closed(trickling)
     done(scene, "t3")
     done(scene, "t1")  # a call-back arrives during a drain as ever
     for peer in (late, long):
         head, body = peer.message()
         assert b" 200 " in head and b"connection: close" in head.lower() and body == b"r"
-        scene.gone(peer)
+        scene.wait_until_closed(peer)
     scene.loop.skip(2 * SECOND)
     assert not scene.clients._connections and not scene.loop.stopped
 
 
 def test_it_is_back_at_work_at_once_and_what_was_not_closed_stays():
     scene = Scene()
-    kept = scene.known()
+    kept = scene.known_client()
     scene.clients.standby()
     scene.loop.skip(STANDBY_IDLE // 2)
     scene.clients.active()
@@ -107,7 +107,7 @@
 def test_sigterm_during_standby_ends_it_and_the_operators_cannot_call_it_back():
     scene = Scene()
     job = scene.ask("/charge")
-    scene.loop.until(lambda: scene.host.open)
+    scene.loop.until(lambda: scene.host.open_requests)
     scene.clients.standby()
     scene.clients.stop()
     scene.clients.active()
@@ -128,7 +128,7 @@
     scene.loop.skip(100_000)
     assert not silent.ended
     scene.loop.skip(300_000)
-    scene.gone(silent)
+    scene.wait_until_closed(silent)
 
 
 def test_a_job_of_twenty_seconds_lasts_through_a_drain_and_a_reload_in_it():
@@ -146,6 +146,6 @@
     done(scene, "t1")
     head, body = client.message()
     assert b" 200 " in head and b"connection: close" in head.lower() and body == b"r"
-    assert scene.shown() == {"answered.charge": 1, "sends": 1, "cluster_size": 1}
+    assert scene.nonzero_metrics() == {"answered.charge": 1, "sends": 1, "cluster_size": 1}
     scene.clients.active()
-    assert scene.known()
+    assert scene.known_client()
--- a/tests/net/test_management.py
+++ b/tests/net/test_management.py
@@ -18,7 +18,7 @@
         assert scene.operate("GET", "/status") == (200, phase)
     assert scene.operate("GET", "/status/metrics")[0] == 200
     scene.ask("/charge")
-    scene.loop.until(lambda: scene.host.open)
+    scene.loop.until(lambda: scene.host.open_requests)
     scene.clients.stop()
     assert scene.operate("GET", "/status")[0] == 503 and scene.operate("POST", "/active")[0] == 409
 
@@ -117,7 +117,7 @@
         path = rng.choice(list(names))
         if rng.random() < 0.1:  # it stays silent until its time is over
             client = scene.ask(f"/{path}", f"t{n}", remaining=500)
-            scene.loop.until(lambda: client.pull() or scene.host.open)  # noqa: B023
+            scene.loop.until(lambda: client.pull() or scene.host.open_requests)  # noqa: B023
             scene.loop.settle()
             scene.loop.skip(600_000)
             scene.loop.settle()
@@ -138,8 +138,8 @@
     bad = scene.client()
     bad.send(b"POST /read HTTP/1.1\r\nHost: x\r\n\r\n")  # no id: no job
     bad.message()
-    assert scene.shown() == dict(seen) | {"cluster_size": 3} | {
-        key: value for key, value in scene.shown().items() if key == "cluster_unhealthy"
+    assert scene.nonzero_metrics() == dict(seen) | {"cluster_size": 3} | {
+        key: value for key, value in scene.nonzero_metrics().items() if key == "cluster_unhealthy"
     }
     assert {f"{how}.{path}" for how in ("answered", "deferred", "errored") for path in names} <= set(seen)
 
@@ -147,18 +147,18 @@
 def test_the_gauges_are_what_their_owners_say():
     scene = Scene(instances=3)
     clients = [scene.ask("/charge", f"t{n}") for n in range(4)]
-    scene.loop.until(lambda: scene.host.open == 4)
-    assert scene.shown()["current"] == 4
+    scene.loop.until(lambda: scene.host.open_requests == 4)
+    assert scene.nonzero_metrics()["current"] == 4
     clients[0].close()
-    scene.loop.until(lambda: scene.host.open == 3)
-    assert scene.shown()["current"] == 3
+    scene.loop.until(lambda: scene.host.open_requests == 3)
+    assert scene.nonzero_metrics()["current"] == 3
     scene.discovery.load_known(scene.table("s-0", "s-1", revision=2))
-    assert scene.shown()["cluster_size"] == 2
+    assert scene.nonzero_metrics()["cluster_size"] == 2
     scene.discovery.list.take(scene.table("s-1", phase="leaving", complete=False, revision=3), cached=False)
-    assert scene.shown()["cluster_size"] == 2  # it still finishes what it has
+    assert scene.nonzero_metrics()["cluster_size"] == 2  # it still finishes what it has
     worker = scene.host._dispatcher.workers[b"s-0"]
-    assert "cluster_unhealthy" not in scene.shown()
+    assert "cluster_unhealthy" not in scene.nonzero_metrics()
     scene.host._dispatcher.doubt(worker)
-    assert scene.shown()["cluster_unhealthy"] == 1
+    assert scene.nonzero_metrics()["cluster_unhealthy"] == 1
     scene.loop.skip(30 * SECOND)
-    assert "cluster_unhealthy" not in scene.shown()
+    assert "cluster_unhealthy" not in scene.nonzero_metrics()
--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -56,7 +56,7 @@
     client.send(b"x" * more)
     client.close()
     assert written(scene) == b""
-    assert not scene.host.open and not scene.host.held
+    assert not scene.host.open_requests and not scene.host.tracked_requests
 
 
 def test_a_client_that_sends_much_and_goes_while_its_job_waits_gets_no_further_attempt():
@@ -71,11 +71,11 @@
     for _ in range(10):
         scene.loop.settle()
         scene.loop.skip(10 * MS)
-    assert not scene.host.open  # within 0.1 s
+    assert not scene.host.open_requests  # within 0.1 s
     runner.send(NACK)
     scene.loop.settle()
     scene.loop.skip(2 * SECOND)
-    assert written(scene) == b"" and not scene.host.held
+    assert written(scene) == b"" and not scene.host.tracked_requests
 
 
 @pytest.mark.parametrize("cancels", [True, False])
@@ -86,7 +86,7 @@
     late_connects(scene, client.close)
     scene.ask(peer=client)
     scene.loop.until(lambda: not scene.runners["s-0"].untouched_now())
-    assert written(scene) == b"" and not scene.host.held
+    assert written(scene) == b"" and not scene.host.tracked_requests
 
 
 # The gate before an attempt
@@ -154,7 +154,7 @@
     scene.host._carry_out([Cancel(1, 0)])
     scene.loop.skip(SECOND)
     other = next(r for n, r in scene.runners.items() if n != name)
-    assert other.untouched() and scene.host.open
+    assert other.untouched() and scene.host.open_requests
     scene.runners[name] = back = Listener(scene.loop, address)
     scene.loop.skip(SECOND)
     heard = back.accept()
@@ -218,4 +218,6 @@
     fresh.send(TAKEN)
     scene.loop.settle()
     scene.loop.skip(2 * SECOND)
-    assert runner.data == b"" and scene.host.open == 1 and len(scene.host._by_txn["t2"].attempts) == 1
+    assert (
+        runner.data == b"" and scene.host.open_requests == 1 and len(scene.host._by_txn["t2"].attempts) == 1
+    )
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -13,7 +13,7 @@
 from pulleyroute.__main__ import build, reload
 from pulleyroute.net.config import load_config
 from pulleyroute.settings import read_settings
-from tests.net.scene import INFO, Scene, StillLoop
+from tests.net.scene import INFO, ManualClockLoop, Scene
 
 GOOD = {
     "name": "n",
@@ -40,7 +40,7 @@
 def test_a_new_class_serves_a_dropped_one_is_unknown_and_open_jobs_end_as_they_came():
     scene = Scene()
     old = scene.ask("/charge", "t1")
-    scene.loop.until(lambda: scene.host.open)
+    scene.loop.until(lambda: scene.host.open_requests)
     scene.runners["s-0"].accept().message()
     adopt(scene, classes=classes(gift="read_like", read="read_like"))
     assert b" 404 " in scene.ask("/charge", "t2").message()[0]
@@ -49,7 +49,12 @@
     for txn, peer in (("t1", old), ("t3", new)):
         scene.call(**{"id": txn, "from": "s-0", "state": "done", "result": txn})
         assert peer.message()[1] == txn.encode()
-    assert scene.shown() == {"answered.charge": 1, "answered.gift": 1, "sends": 2, "cluster_size": 1}
+    assert scene.nonzero_metrics() == {
+        "answered.charge": 1,
+        "answered.gift": 1,
+        "sends": 2,
+        "cluster_size": 1,
+    }
 
 
 @pytest.mark.parametrize("before", ["non_idempotent", "read_like"])
@@ -60,15 +65,15 @@
     scene = Scene(instances=3)
     adopt(scene, classes=classes(x=before))
     jobs = {"t1": scene.ask("/x", "t1")}
-    scene.loop.until(lambda: scene.host.knows("t1"))
+    scene.loop.until(lambda: scene.host.has_request("t1"))
     adopt(scene, classes=classes(other="read_like", x=after))
     jobs["t2"] = scene.ask("/x", "t2")
-    scene.loop.until(lambda: scene.host.knows("t2"))
+    scene.loop.until(lambda: scene.host.has_request("t2"))
     for txn, effect in (("t1", before), ("t2", after)):
         instance, _ = scene.take(txn)
         scene.call(**{"id": txn, "from": instance, "state": "lost"})
         scene.loop.skip(1_000_000)
-        again = scene.host.knows(txn) and len(scene.host._by_txn[txn].attempts) > 1
+        again = scene.host.has_request(txn) and len(scene.host._by_txn[txn].attempts) > 1
         assert again is (effect == "read_like")
         assert (b" 502 " in jobs[txn].pull()) is (effect == "non_idempotent")
 
@@ -77,10 +82,10 @@
 def test_an_open_job_keeps_its_number_of_attempts(before, after):
     scene = Scene(instances=4, **{"max-attempts": before})
     client = scene.ask()
-    scene.loop.until(lambda: scene.host.open)
+    scene.loop.until(lambda: scene.host.open_requests)
     adopt(scene, caps={**INFO["caps"], "max-attempts": after})
     job = scene.host._by_txn["t1"]
-    while scene.host.open:
+    while scene.host.open_requests:
         out = [e for e in job.attempts if not e.over]
         if out:  # it is connected and reset: it may be repeated
             scene.runners[out[0].instance.decode()].accept().close()
@@ -113,7 +118,7 @@
     os.environ["PROXY_CONFIG"] = str(path)
     config = load_config(os.environ)
     config.listen = ("127.0.0.1", 0)
-    yield build(config, StillLoop()), path
+    yield build(config, ManualClockLoop()), path
     del os.environ["PROXY_CONFIG"]
 
 
@@ -123,7 +128,7 @@
         parts.clients._settings,
         parts.instances._settings,
         parts.discovery._discovery,
-        parts.ledger.most,
+        parts.ledger.limit,
         parts.config.sockets,
         parts.config.settings,
         dict(parts.clients._classes),
@@ -149,7 +154,7 @@
 def test_the_budgets_of_the_start_are_those_of_a_reload(running):
     # Failure: a floor that is meant for two processes gave one of few descriptors more than its limit.
     config = replace(running[0].config, sockets=64, management=("127.0.0.1", 0))
-    parts = build(config, StillLoop())
+    parts = build(config, ManualClockLoop())
     before = parts.instances._most, parts.clients._most, parts.clients._most_jobs
     parts.allow()
     assert (parts.instances._most, parts.clients._most, parts.clients._most_jobs) == before
--- a/tests/net/test_sizes.py
+++ b/tests/net/test_sizes.py
@@ -37,7 +37,7 @@
     )
     scene.loop.until(lambda: scene.discovery.version == 2)
     assert scene.discovery.size == COUNT
-    assert scene.shown()["cluster_size"] == COUNT
+    assert scene.nonzero_metrics()["cluster_size"] == COUNT
 
 
 def test_the_whole_list_of_1024_with_long_names_is_taken():
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -10,7 +10,7 @@
 from pulleyroute.net.handover import Handover
 from pulleyroute.net.lifecycle import Phase
 from pulleyroute.net.list_freshness import START_PATIENCE, ListFreshness, Standing
-from tests.net.scene import INFO, MS, READY, SECOND, TAKEN, Listener, Peer, Scene, StillLoop, callback
+from tests.net.scene import INFO, MS, READY, SECOND, TAKEN, Listener, ManualClockLoop, Peer, Scene, callback
 from tests.net.test_discovery import CHUNKS, chunk
 
 STEP = 20 * MS
@@ -21,7 +21,7 @@
     """A new process; in the list of its configuration `s-0` is ready, which has left since."""
 
     def __init__(self, tmp_path, mode="on_request", dispatchers=1, away=False):
-        self.loop = StillLoop()
+        self.loop = ManualClockLoop()
         self.instances = {name: Listener(self.loop) for name in ("s-0", "s-1")}
         self.discovery = Listener(self.loop)
         if away:
@@ -229,19 +229,19 @@
 def test_a_client_that_goes_while_its_request_waits_for_the_list_is_not_sent_on(start):
     scene = start()
     _, client = scene.ask()
-    scene.loop.until(lambda: scene.parts.host.open == 1)
+    scene.loop.until(lambda: scene.parts.host.open_requests == 1)
     client.close()
-    scene.loop.until(lambda: not scene.parts.host.open)
+    scene.loop.until(lambda: not scene.parts.host.open_requests)
     scene.tell(scene.called())
     for _ in range(20):
         scene.step()
-    assert not scene.open and not scene.parts.host.held
+    assert not scene.open and not scene.parts.host.tracked_requests
 
 
 def test_a_request_whose_class_a_reload_changes_while_it_waits_may_come_again(start):
     scene = start()
     _, client = scene.ask()
-    scene.loop.until(lambda: scene.parts.host.open == 1)
+    scene.loop.until(lambda: scene.parts.host.open_requests == 1)
     settings = scene.parts.clients.settings
     scene.parts.adopt(type(settings)(**{**vars_of(settings), "classes": list(reversed(settings.classes))}))
     scene.tell(scene.called())
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -10,7 +10,7 @@
 from pulleyroute.grpc.messages import framed
 from pulleyroute.service import CannotServe, Service
 from tests.grpc.scene import Box, Peer
-from tests.net.scene import SECOND, Listener, StillLoop, operate
+from tests.net.scene import SECOND, Listener, ManualClockLoop, operate
 
 CONFIG = """
 listener "calls" {{
@@ -43,7 +43,7 @@
 
     def __init__(self, tmp_path, boxes=2):
         logger.remove()
-        self.path, self.loop = tmp_path / "site.hcl", StillLoop()
+        self.path, self.loop = tmp_path / "site.hcl", ManualClockLoop()
         self.boxes = {f"a-{i}": Box(self.loop) for i in range(boxes)}
         with socket.socket() as sock:
             sock.bind(("127.0.0.1", 0))
@@ -96,7 +96,7 @@
     assert call.status() == 0 and call.body == framed(b"old")
     assert after.status() == 0 and after.body == framed(b"new")
     play.loop.skip(3 * SECOND)
-    assert not old.held and not play.service._retired and old._dispatcher.now < play.loop.now() - SECOND
+    assert not old.tracked_requests and not play.service._retired and old._dispatcher.now < play.loop.now() - SECOND
 
 
 def test_an_instance_taken_out_gets_nothing_new_and_finishes_what_it_has(tmp_path):
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -46,10 +46,10 @@
     config = load_config({"PROXY_CONFIG": str(path)})
     assert (config.settings.dispatchers, config.settings.me) == (dispatchers, dispatchers - 1)
     scene.discovery.load_known(config.known)
-    assert scene.shown()["cluster_size"] == COUNT
+    assert scene.nonzero_metrics()["cluster_size"] == COUNT
     scene.runners = {member["id"]: scene.runners["s-0"] for member in members}
     client = scene.ask()
     instance, _ = scene.take("t1")
     scene.call(**{"id": "t1", "state": "done", "result": "r", "from": instance})
     assert b" 200 " in client.message()[0]
-    scene.leave()
+    scene.close()
