--- a/pulleyroute/net/loop.py
+++ b/pulleyroute/net/loop.py
@@ -1,7 +1,8 @@
-"""The event loop: epoll, generators as coroutines, and a timer heap in monotonic microseconds. No protocol.
+"""The event loop: epoll, generators as coroutines, and a heap of timers. It knows no protocol.
 
-A coroutine yields a `Wait` and is resumed with how that wait ended. Readiness is a hint, never a promise:
-whoever is resumed tries its socket again and waits once more if nothing is there.
+All times are microseconds of the monotonic clock. A coroutine yields a `Wait` and is resumed with a
+`WaitResult`. Readiness is a hint: a resumed coroutine tries its socket again, and waits once more if the call
+would block.
 """
 
 from __future__ import annotations
@@ -21,22 +22,26 @@
 
 READABLE = select.EPOLLIN
 WRITABLE = select.EPOLLOUT
-PEER_CLOSED = select.EPOLLRDHUP  # by the peer, whether or not all bytes before that are read
+PEER_CLOSED = select.EPOLLRDHUP  # reported even while bytes from before the close are still unread
 MAX_EVENTS_PER_TURN = 256
-COMPACT_MIN_TIMERS = 256  # a heap this long is cleared of its cancelled timers once they are most of it
+# A timer heap longer than this drops its cancelled entries once they make up more than half of it.
+COMPACT_MIN_TIMERS = 256
 
 
 class WaitResult(Enum):
     """How a wait ended."""
 
-    READY = "ready"  # the socket may have something
-    TIMED_OUT = "timed out"  # its time is over
-    WOKEN = "woken"  # somebody called `Task.wake`
+    READY = "ready"  # the descriptor may be ready
+    TIMED_OUT = "timed out"  # `Wait.until` was reached
+    WOKEN = "woken"  # `Task.wake` was called
 
 
 @dataclass(slots=True, frozen=True)
 class Wait:
-    """For a descriptor, a time, a nudge, or whichever comes first."""
+    """What a coroutine waits for: a descriptor, a deadline, or `Task.wake`, whichever comes first.
+
+    An `fd` of -1 waits for no descriptor. `until` is on the loop's clock; None sets no deadline.
+    """
 
     fd: int = -1
     events: int = 0
@@ -47,7 +52,7 @@
 
 
 class Timer:
-    """A call to come; cancelling is free and final."""
+    """A scheduled call. Cancelling takes amortized constant time and cannot be undone."""
 
     __slots__ = ("_loop", "action", "when")
 
@@ -57,16 +62,17 @@
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
+        """Drop the call; does nothing if it has run or was cancelled before."""
         if self.action is not None:
             self.action = None
             self._loop.timer_cancelled()
 
 
 class Task:
-    """One coroutine on the loop."""
+    """One coroutine that runs on the loop."""
 
     __slots__ = (
-        "_begun",
+        "_started",
         "_coroutine",
         "_cancel_pending",
         "_loop",
@@ -86,14 +92,14 @@
         self.done = False
         self.wait: Wait | None = None
         self._timer: Timer | None = None
-        self._begun = self._running = self._queued = self._wake_pending = self._cancel_pending = False
+        self._started = self._running = self._queued = self._wake_pending = self._cancel_pending = False
 
     def start(self) -> None:
-        """Run up to the first wait."""
+        """Run the coroutine up to its first wait."""
         self.step(WaitResult.WOKEN)
 
     def wake(self) -> None:
-        """End the wait that the task is in, or else its next one."""
+        """End the current wait, or the next one if the task is running."""
         if self.done or self._queued:
             return
         if self.wait is None:
@@ -102,16 +108,17 @@
             self._queue()
 
     def process_pending_read(self) -> None:
-        """If it waits for a descriptor, let it take what is there now, before the loop's next turn."""
+        """Resume a task that waits for a descriptor now, so that it reads what has already arrived."""
         if not self.done and self.wait is not None and self.wait.fd >= 0:
             self.step(WaitResult.READY)
 
     def cancel(self) -> None:
-        """Close the coroutine where it stands; its `finally` blocks run."""
+        """Close the coroutine at its current wait; its `finally` blocks run."""
         if self.done:
             return
         if self._running:
-            self._cancel_pending = True  # a generator cannot close itself: done once it yields
+            # A running generator cannot close itself; `step` closes it at the next yield.
+            self._cancel_pending = True
             return
         self._finish()
         try:
@@ -119,22 +126,22 @@
         except Exception as exc:
             self._loop.on_error(self.name, exc)
 
-    def step(self, woken: WaitResult) -> None:
-        """Resume the coroutine and take its next wait."""
+    def step(self, result: WaitResult) -> None:
+        """Resume the coroutine and register its next wait."""
         if self.done:
             return
         self._disarm()
         self._running = True
         try:
-            if self._begun:
-                wait = self._coroutine.send(woken)
+            if self._started:
+                wait = self._coroutine.send(result)
             else:
-                self._begun = True
+                self._started = True
                 wait = next(self._coroutine)
         except StopIteration:
             self._finish()
             return
-        except Exception as exc:  # ends this task alone
+        except Exception as exc:  # an error ends this task only
             self._finish()
             self._loop.on_error(self.name, exc)
             return
@@ -151,9 +158,9 @@
         if wait.fd >= 0:
             self._loop.watch(wait.fd, wait.events, self)
         if wait.until is not None:
-            self._timer = self._loop.call_at(wait.until, self._late)
+            self._timer = self._loop.call_at(wait.until, self._timed_out)
 
-    def _late(self) -> None:
+    def _timed_out(self) -> None:
         self._timer = None
         if not self._queued:
             self.step(WaitResult.TIMED_OUT)
@@ -164,6 +171,7 @@
         self._loop.queue(self)
 
     def run_queued(self) -> None:
+        """Resume a task that `wake` has queued."""
         self._queued = False
         self.step(WaitResult.WOKEN)
 
@@ -182,91 +190,104 @@
 
 
 class Loop:
-    """Owns the epoll set, the tasks' waits and the timers."""
+    """Owns the epoll set, the waits of the tasks, and the timers.
+
+    `on_error` receives the name of the task, or `timer`, and the exception that ended it.
+    """
 
     def __init__(self, on_error: Callable[[str, Exception], None]) -> None:
         self.on_error = on_error
         self.stopped = False
         self._poll = select.epoll()
         self._masks: dict[int, int] = {}
-        self._watchers: dict[int, Task] = {}
+        self._waiting_tasks: dict[int, Task] = {}
         self._queue: deque[Task] = deque()
         self._timers: list[tuple[int, int, Timer]] = []
         self._timer_count = 0
-        self._cancelled = 0
+        self._cancelled_timers = 0
         self.wakeup_pacing = WakeupPacing()
 
     def now(self) -> int:
+        """Return the monotonic time in microseconds."""
         return time.monotonic_ns() // 1000
 
     def spawn(self, coroutine: Coroutine[Any], name: str) -> Task:
-        """Start a coroutine; it runs at once up to its first wait."""
+        """Create a task for a coroutine and run it up to its first wait."""
         task = Task(self, coroutine, name)
         task.start()
         return task
 
     def call_at(self, when: int, action: Callable[[], None]) -> Timer:
+        """Schedule a call for a time on the loop's clock."""
         timer = Timer(self, when, action)
         self._timer_count += 1
         heapq.heappush(self._timers, (when, self._timer_count, timer))
         return timer
 
     def timer_cancelled(self) -> None:
-        self._cancelled += 1
-        if len(self._timers) > COMPACT_MIN_TIMERS and self._cancelled * 2 > len(self._timers):
+        """Count a cancelled timer, and compact the heap when most of its entries are cancelled."""
+        self._cancelled_timers += 1
+        if len(self._timers) > COMPACT_MIN_TIMERS and self._cancelled_timers * 2 > len(self._timers):
             self._timers = [entry for entry in self._timers if entry[2].action is not None]
             heapq.heapify(self._timers)
-            self._cancelled = 0
+            self._cancelled_timers = 0
 
     def queue(self, task: Task) -> None:
+        """Resume a task with `WaitResult.WOKEN` at the end of the current turn, or in the next one."""
         self._queue.append(task)
 
     def watch(self, fd: int, mask: int, task: Task) -> None:
-        have = self._masks.get(fd)
-        if have is None:
+        """Make a task wait for events of a descriptor."""
+        registered_mask = self._masks.get(fd)
+        if registered_mask is None:
             self._poll.register(fd, mask)
-        elif have != mask:
+        elif registered_mask != mask:
             self._poll.modify(fd, mask)
         self._masks[fd] = mask
-        self._watchers[fd] = task
+        self._waiting_tasks[fd] = task
 
     def unwatch(self, fd: int, task: Task) -> None:
-        """The task waits for it no more; it stays registered, as most are soon waited for again."""
-        if self._watchers.get(fd) is task:
-            del self._watchers[fd]
+        """End a task's wait for a descriptor.
+
+        The descriptor stays registered with epoll, since most are soon waited for again.
+        """
+        if self._waiting_tasks.get(fd) is task:
+            del self._waiting_tasks[fd]
 
     def forget(self, fd: int) -> None:
-        """To be called before a descriptor closes: its number may come back at once."""
-        self._watchers.pop(fd, None)
+        """Unregister a descriptor. Call it before closing one: the kernel may reuse its number at once."""
+        self._waiting_tasks.pop(fd, None)
         if self._masks.pop(fd, None) is not None:
             self._poll.unregister(fd)
 
     def run(self) -> None:
-        """Turn until `stop`."""
+        """Run turns until `stop` is called."""
         while not self.stopped:
             self.turn()
 
     def stop(self) -> None:
+        """Make `run` return after the current turn."""
         self.stopped = True
 
-    def turn(self, longest: float = 1.0) -> None:
-        """Run what is due, waiting at most `longest` seconds for something to come."""
+    def turn(self, max_wait: float = 1.0) -> None:
+        """Run one turn: wait at most `max_wait` seconds for events, then run ready tasks and due timers."""
         if self.wakeup_pacing.pause_us and not self._queue:
             pause = self.wakeup_pacing.next_pause(self.now())
             if pause:
                 time.sleep(pause / 1e6)
-        for fd, _ in self._poll.poll(0 if self._queue else self._span(longest), MAX_EVENTS_PER_TURN):
-            task = self._watchers.get(fd)
+        for fd, _ in self._poll.poll(0 if self._queue else self._poll_timeout(max_wait), MAX_EVENTS_PER_TURN):
+            task = self._waiting_tasks.get(fd)
             if task is not None:
                 task.step(WaitResult.READY)
             elif fd in self._masks:
-                self.forget(fd)  # guards against spinning: hang-ups are told of though nobody waits
+                # Epoll reports a hang-up even if no task waits, and would do so on every turn: a busy loop.
+                self.forget(fd)
         now = self.now()
         while self._timers and self._timers[0][0] <= now:
             timer = heapq.heappop(self._timers)[2]
             action, timer.action = timer.action, None
             if action is None:
-                self._cancelled = max(0, self._cancelled - 1)
+                self._cancelled_timers = max(0, self._cancelled_timers - 1)
                 continue
             try:
                 action()
@@ -275,7 +296,7 @@
         for _ in range(len(self._queue)):
             self._queue.popleft().run_queued()
 
-    def _span(self, longest: float) -> float:
+    def _poll_timeout(self, max_wait: float) -> float:
         if not self._timers:
-            return longest
-        return min(longest, max(0.0, (self._timers[0][0] - self.now()) / 1e6))
+            return max_wait
+        return min(max_wait, max(0.0, (self._timers[0][0] - self.now()) / 1e6))
