--- a/pulleyroute/net/backoff.py
+++ b/pulleyroute/net/backoff.py
@@ -1,5 +1,7 @@
-"""One delay law for everything in `net/` that tries again: Full Jitter, as in the AWS article on exponential
-back-off. Pure: no clock, no I/O."""
+"""Exponential back-off with full jitter, used by everything in `net/` that retries.
+
+The formula is "Full Jitter" of the AWS article on exponential back-off. Pure: no clock, no I/O.
+"""
 
 from __future__ import annotations
 
@@ -7,23 +9,24 @@
 
 
 class Backoff:
-    """How long to wait before the next try: random(0, min(cap, base * 2 ** n)) after n tries that failed.
+    """Computes the delay before the next try: random(0, min(cap, base * 2 ** n)) after n failures in a row.
 
-    Times are whole microseconds. The draws are the given generator's, so that a run replays from its seed.
+    Times are whole microseconds. Random numbers come from the given generator, so a run can be replayed from
+    its seed.
     """
 
     __slots__ = ("_base", "_random", "cap", "failures")
 
     def __init__(self, base: int, cap: int, random: Random) -> None:
         self._base, self.cap, self._random = base, cap, random
-        self.failures = 0  # since the last success
+        self.failures = 0  # in a row, since the last success
 
     def failed(self) -> int:
-        """A try has failed: the time to let pass before the next."""
+        """Record a failed try and return the delay before the next one, in microseconds."""
         limit = min(self.cap, self._base * 2 ** min(self.failures, 40))
         self.failures += 1
         return int(self._random.random() * limit)
 
     def succeeded(self) -> None:
-        """A try has gone well: the next failure is a first one again."""
+        """Record a successful try: the delays start from the base again."""
         self.failures = 0
