--- a/pulleyroute/net/buffers.py
+++ b/pulleyroute/net/buffers.py
@@ -1,35 +1,35 @@
-"""Read buffers of one size, used again from a pool, and the count of what was read and is still held."""
+"""A pool of read buffers of one size, and the count of the request bytes held in memory."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-BUFFER_SIZE = 16 * 1024
-KEPT = 16  # buffers that stay with the pool; a read holds one only until its bytes are parsed
+BUFFER_SIZE = 16 * 1024  # bytes
+MAX_POOLED_BUFFERS = 16  # few are needed: a read borrows one only until its bytes are parsed
 
 
 class BufferPool:
-    """Lends buffers. Owns those that nobody has borrowed."""
+    """Lends buffers of `size` bytes. Owns the free ones and keeps at most `max_free` of them."""
 
-    def __init__(self, size: int = BUFFER_SIZE, kept: int = KEPT) -> None:
+    def __init__(self, size: int = BUFFER_SIZE, max_free: int = MAX_POOLED_BUFFERS) -> None:
         self.size = size
-        self._kept = kept
+        self._max_free = max_free
         self._free: list[bytearray] = []
 
     @contextmanager
     def borrow(self) -> Iterator[bytearray]:
-        """A buffer for the length of one read."""
+        """Lend a buffer for the duration of one read."""
         buffer = self._free.pop() if self._free else bytearray(self.size)
         try:
             yield buffer
         finally:
-            if len(self._free) < self._kept:
+            if len(self._free) < self._max_free:
                 self._free.append(buffer)
 
 
 class Ledger:
-    """Counts the bytes of requests that accepted connections hold, against what memory allows."""
+    """Counts the request bytes held for accepted connections (`held`) against a limit, both in bytes."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -37,4 +37,5 @@
 
     @property
     def full(self) -> bool:
+        """Whether more bytes are held than the limit allows."""
         return self.held > self.limit
