--- a/pulleyroute/net/wakeup_pacing.py
+++ b/pulleyroute/net/wakeup_pacing.py
@@ -1,43 +1,43 @@
-"""When a loop that carries streams of small messages rests for a moment, so that more come at once. Pure.
+"""Decides when the event loop pauses briefly, so that it reads several small stream messages at once. Pure.
 
-What a message costs is mostly being woken for it. As network cards do ("interrupt moderation"), the loop
-rests once wake-ups for nothing but stream data come fast, one after another. Whoever sends one message and
-waits for its answer is never held up: its wake-ups are too far apart. Heads and endings, so all unary calls,
-end the rests.
+Most of the cost of a small message is the wake-up of the process. Like the interrupt moderation of network
+cards, the loop pauses before it polls again once wake-ups that bring nothing but stream data follow one
+another closely. A peer that sends one message and waits for the answer is not delayed, because its wake-ups
+are too far apart. Header frames and the ends of streams, and so all unary calls, end the pauses.
 """
 
 from __future__ import annotations
 
-BURST_GAP_US = 250  # microseconds between two wake-ups that count as one after another
-BURST_WAKEUPS = 16  # so many of them before the first rest
+BURST_GAP_US = 250  # wake-ups closer together than this belong to one burst
+BURST_WAKEUPS = 16  # length of a burst before the first pause
 
 
 class WakeupPacing:
-    """One loop's. `pause_us`: microseconds of a rest; 0 for never."""
+    """The pacing of one loop. `pause_us` is the length of a pause in microseconds; 0 disables pauses."""
 
-    __slots__ = ("_last", "_other", "_plain", "_row", "pause_us")
+    __slots__ = ("_last_wakeup", "_saw_other", "_saw_stream_data", "_burst_length", "pause_us")
 
     def __init__(self, pause_us: int = 0) -> None:
         self.pause_us = pause_us
-        self._plain = self._other = False
-        self._last = self._row = 0
+        self._saw_stream_data = self._saw_other = False
+        self._last_wakeup = self._burst_length = 0
 
     def record_read(self, only_stream_data: bool) -> None:
-        """A connection has read: nothing but a little stream data, or something else."""
+        """Record what a connection has read: nothing but a little stream data, or anything else."""
         if only_stream_data:
-            self._plain = True
+            self._saw_stream_data = True
         else:
-            self._other = True
+            self._saw_other = True
 
     def next_pause(self, now: int) -> int:
-        """How many microseconds to rest before the next look; `now` in the same."""
-        if not self.pause_us or not (self._plain or self._other):
+        """Return how many microseconds to pause before the next poll; `now` is in microseconds too."""
+        if not self.pause_us or not (self._saw_stream_data or self._saw_other):
             return 0
-        busy = self._plain and not self._other
-        self._plain = self._other = False
-        self._row = self._row + 1 if busy and now - self._last < BURST_GAP_US else 0
-        self._last = now
-        if self._row < BURST_WAKEUPS:
+        burst = self._saw_stream_data and not self._saw_other
+        self._saw_stream_data = self._saw_other = False
+        self._burst_length = self._burst_length + 1 if burst and now - self._last_wakeup < BURST_GAP_US else 0
+        self._last_wakeup = now
+        if self._burst_length < BURST_WAKEUPS:
             return 0
-        self._last += self.pause_us
+        self._last_wakeup += self.pause_us
         return self.pause_us
