--- a/pulleyroute/net/flood_limits.py
+++ b/pulleyroute/net/flood_limits.py
@@ -1,8 +1,9 @@
-"""Which frames of a connection are too many: pure, no I/O and no clock.
+"""Rate limits against HTTP/2 frame floods. Pure: no I/O and no clock.
 
-A token bucket for each kind of frame that costs its sender nothing: rapid reset (CVE-2023-44487), PING,
-SETTINGS and empty-DATA floods (CVE-2019-9512, -9515, -9518), and windows opened by a byte at a time
-(CVE-2019-9517). CONTINUATION floods are bounded by the framing layer, which takes 64 of them for one head.
+Each connection has a token bucket for each kind of frame that costs its sender next to nothing. They cover
+rapid reset (CVE-2023-44487), PING, SETTINGS and empty-DATA floods (CVE-2019-9512, -9515, -9518), and windows
+that are opened one byte at a time (CVE-2019-9517). CONTINUATION floods are bounded by the framing layer,
+which accepts 64 such frames for one header block.
 """
 
 from __future__ import annotations
@@ -12,27 +13,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Allowance:
-    """Frames a second in the long run, and at once."""
+    """A token bucket: `rate` is in frames a second, `burst` in frames."""
 
     rate: float
     burst: float
 
 
 ALLOWED = {
-    "reset": Allowance(
-        200, 1000
-    ),  # of streams that had no answer yet: to cancel what has begun costs its sender
+    # Only resets of streams that had no answer yet: to cancel an answer that has begun costs the sender.
+    "reset": Allowance(200, 1000),
     "ping": Allowance(10, 100),
     "settings": Allowance(5, 50),
     "priority": Allowance(200, 2000),
-    "empty": Allowance(50, 500),  # DATA without bytes that does not end its stream
+    "empty": Allowance(50, 500),  # DATA frames without bytes that do not end their stream
     "window": Allowance(5000, 50000),
-    "small": Allowance(5000, 50000),  # frames of under 16 bytes of DATA
+    "small": Allowance(5000, 50000),  # DATA frames of less than 16 bytes
 }
 
 
 class FloodLimits:
-    """One connection's buckets. Times are microseconds of the caller's clock."""
+    """The token buckets of one connection. Times are microseconds of the caller's clock."""
 
     __slots__ = ("_allowed", "_left")
 
@@ -41,7 +41,10 @@
         self._left: dict[str, tuple[float, int]] = {}
 
     def take(self, kind: str, now: int) -> bool:
-        """Count one frame; False once they are too many, and the connection should end."""
+        """Take a token for one frame; False if there is none left, and the connection should be closed.
+
+        A kind without an allowance is not limited.
+        """
         allowance = self._allowed.get(kind)
         if allowance is None:
             return True
