--- a/pulleyroute/net/__init__.py
+++ b/pulleyroute/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real dispatcher: the decision module's host on sockets."""
+"""The network side of the dispatcher: the host of the decision module, on sockets."""
