--- a/pulleyroute/net/job_transfer.py
+++ b/pulleyroute/net/job_transfer.py
@@ -1,7 +1,7 @@
-"""A job as plain values, on its way from one process of a dispatcher to another. No I/O, no clock, no state.
+"""Packs a job into plain values to move it between two processes of a dispatcher. No I/O, no clock, no state.
 
-Times are of the giver's clock; `shift` turns them into the taker's. The names in the values are read by other
-versions of the program too.
+Packed times are on the sender's clock; the receiver adds `shift` to get times on its own. The keys are part
+of the hand-over protocol: a process of another version of the program may read them.
 """
 
 from __future__ import annotations
@@ -15,23 +15,26 @@
 
 Values = dict[str, Any]
 
-_FLAGS = ("over", "started", "written", "accepted", "nacked")  # of an attempt
+_FLAGS = ("over", "started", "written", "accepted", "nacked")  # attributes of an attempt, and their keys
 
 
 def movable(job: Job) -> bool:
-    """Whether all that is out for it is with the instances, and nothing hangs on connections here."""
-    out = [attempt for attempt in job.attempts if not attempt.over]
+    """Whether a job can move: instances have accepted all its open attempts, and none is being stopped.
+
+    Then no attempt depends on a connection of this process any more, and its end is reported by a callback.
+    """
+    open_attempts = [attempt for attempt in job.attempts if not attempt.over]
     return (
         not job.answered
         and job.answering_attempt is None
         and not job.replay_dropped
-        and bool(out)
-        and all(each.accepted and not each.stopping for each in out)
+        and bool(open_attempts)
+        and all(attempt.accepted and not attempt.stopping for attempt in open_attempts)
     )
 
 
-def pack(job: Job, known: Values | None) -> Values:
-    """A job that is movable, but for its body. `known`: what the decisions know of it."""
+def pack(job: Job, decision_state: Values | None) -> Values:
+    """Pack a movable job without its body. `decision_state` is what the decision module holds for the job."""
     request = job.request
     return {
         "txn": request.txn,
@@ -47,26 +50,26 @@
         "taken": job.accepted_at,
         "cls": snapshot.pack_class(job.cls),
         "most": job.max_attempts,
-        "rules": known,
+        "rules": decision_state,
         "executions": [
             {
-                "instance": e.instance.decode(),
-                "sent": e.sent,
-                "timeout_at": e.timeout_at,
-                "over": e.over,
-                "started": e.started,
-                "outcome": e.outcome,
-                "written": e.written,
-                "accepted": e.accepted,
-                "nacked": e.nacked,
+                "instance": attempt.instance.decode(),
+                "sent": attempt.sent,
+                "timeout_at": attempt.timeout_at,
+                "over": attempt.over,
+                "started": attempt.started,
+                "outcome": attempt.outcome,
+                "written": attempt.written,
+                "accepted": attempt.accepted,
+                "nacked": attempt.nacked,
             }
-            for e in job.attempts
+            for attempt in job.attempts
         ],
     }
 
 
 def unpack_request(values: Values, body: bytes) -> Request:
-    """The request of a packed job."""
+    """Return the request of a packed job."""
     return Request(
         values["txn"],
         0,
@@ -83,7 +86,7 @@
 
 
 def unpack_job(values: Values, request: Request, number: int, reply: Reply, shift: int) -> Job:
-    """The job of its values, without its attempts."""
+    """Return the job of a packed job, without its attempts."""
     return Job(
         number,
         request,
@@ -96,7 +99,7 @@
 
 
 def restore(attempt: Attempt, values: Values) -> None:
-    """Bring an attempt that was made anew to where it was when it was packed."""
+    """Set a newly created attempt to the state that it was packed in."""
     for name in _FLAGS:
         setattr(attempt, name, values[name])
     attempt.outcome = None if values["outcome"] is None else Outcome(values["outcome"])
