--- a/pulleyroute/net/host.py
+++ b/pulleyroute/net/host.py
@@ -92,7 +92,7 @@
         instances.gate = self._may_begin
         instances.rejected = self._reject
         instances.probed = self._probed
-        self._doers: dict[type, Callable[..., None]] = {
+        self._action_handlers: dict[type, Callable[..., None]] = {
             api.Push: self._push,
             api.Refuse: self._refuse,
             api.Fail: self._fail,
@@ -150,7 +150,7 @@
     def _carry_out(self, actions: list[api.Action]) -> None:
         for action in actions:
             try:
-                self._doers[type(action)](action)
+                self._action_handlers[type(action)](action)
             except Exception:
                 logger.bind(event="action.failed").exception("could not carry out {}", type(action).__name__)
 
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -20,7 +20,7 @@
 def told(scene):
     news = []
     scene.discovery.tell = news.append
-    scene.host._doers[Subscribe] = lambda action: None  # the test asks, not the module
+    scene.host._action_handlers[Subscribe] = lambda action: None  # the test asks, not the module
     return news
 
 
