--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -1,12 +1,12 @@
-"""What comes between two lines at which a coroutine waits: each order is forced, none is hoped for."""
+"""Races between two waits of a coroutine. Each test forces its order of events."""
 
 import pytest
 
 from pulleyroute.interface import Cancel
 from tests.net.scene import INFO, MS, NACK, SECOND, TAKEN, Listener, Scene
 
-ALONE = {"second-copies": False}
-KEYED = {
+NO_SECOND_COPIES = {"second-copies": False}
+WITH_KEYED_CLASS = {
     **INFO,
     "classes": [
         *INFO["classes"],
@@ -21,20 +21,20 @@
 }
 
 
-def late_connects(scene, between):
-    """Each connection to an instance is up, and before anything is written `between` happens."""
-    opening = scene.instances._open
+def run_after_connects(scene, action):
+    """Run `action` whenever a connection to an instance is up, before anything is written to it."""
+    original_open = scene.instances._open
 
-    def opened(instance):
-        stream = yield from opening(instance)
-        between()
+    def open_then_run(instance):
+        stream = yield from original_open(instance)
+        action()
         return stream
 
-    scene.instances._open = opened
+    scene.instances._open = open_then_run
 
 
-def written(scene):
-    """What the instances have been sent on connections that nobody has looked at yet."""
+def bytes_on_new_connections(scene):
+    """Return the bytes sent to instances on connections that the test had not accepted yet."""
     scene.loop.settle()
     data = b""
     for runner in scene.runners.values():
@@ -43,24 +43,25 @@
     return data
 
 
-# A client that has gone
+# A client that has left
 
 
 @pytest.mark.parametrize("more", [0, 20 * 1024])
 def test_a_request_whose_client_has_gone_before_it_is_read_is_not_sent_on(more):
-    # Guards the instances against work for nobody: the end stands behind the request, and what follows it.
+    # The end of the client's connection arrives behind the request, or behind further bytes. An instance must
+    # not run a request whose client has left.
     scene = Scene()
     client = scene.client()
     client.sock.settimeout(60)
     scene.ask(peer=client, body=b"hi")
     client.send(b"x" * more)
     client.close()
-    assert written(scene) == b""
+    assert bytes_on_new_connections(scene) == b""
     assert not scene.host.open_requests and not scene.host.tracked_requests
 
 
 def test_a_client_that_sends_much_and_goes_while_its_job_waits_gets_no_further_attempt():
-    # Guards against an end that stands behind more bytes than are read ahead of an answer.
+    # The end of the connection arrives behind more bytes than the dispatcher reads before it answers.
     scene = Scene(instances=2)
     client = scene.ask()
     name, runner = scene.take("t1", accept=False)
@@ -75,34 +76,35 @@
     runner.send(NACK)
     scene.loop.settle()
     scene.loop.skip(2 * SECOND)
-    assert written(scene) == b"" and not scene.host.tracked_requests
+    assert bytes_on_new_connections(scene) == b"" and not scene.host.tracked_requests
 
 
 @pytest.mark.parametrize("cancels", [True, False])
 def test_what_has_not_begun_when_its_client_goes_does_not_begin(cancels):
-    # Guards deployments without cancels too: there the decisions call nothing off.
+    # Without cancels the decision module stops no attempt, so the check before the first byte has to.
     scene = Scene(cancelling=cancels)
     client = scene.client()
-    late_connects(scene, client.close)
+    run_after_connects(scene, client.close)
     scene.ask(peer=client)
     scene.loop.until(lambda: not scene.runners["s-0"].untouched_now())
-    assert written(scene) == b"" and not scene.host.tracked_requests
+    assert bytes_on_new_connections(scene) == b"" and not scene.host.tracked_requests
 
 
 # The gate before an attempt
 
 
 def test_an_instance_that_starts_anew_while_a_connection_comes_up_is_sent_nothing_meant_for_the_old_one():
-    # Guards a cold instance: what the decisions counted was the room of the process before.
+    # The decision counted on the free slots of the previous process; the restarted one is cold.
     scene = Scene()
     table = scene.table("s-0", complete=False, revision=2)
     table["members"][0]["up_since_ms"] = 1
-    late_connects(scene, lambda: scene.host.post(scene.discovery.list.take(table, cached=False)))
+    run_after_connects(scene, lambda: scene.host.post(scene.discovery.list.take(table, cached=False)))
     client = scene.ask()
     scene.loop.until(lambda: not scene.runners["s-0"].untouched_now())
-    assert written(scene) == b""
+    assert bytes_on_new_connections(scene) == b""
     scene.loop.skip(2 * SECOND)
-    assert b"X-Txn: t1" in written(scene) and not client.pull()  # as a new attempt, reckoned anew
+    # It is sent as a new attempt, after a new decision.
+    assert b"X-Txn: t1" in bytes_on_new_connections(scene) and not client.pull()
 
 
 def test_a_kept_connection_to_a_process_before_the_listed_one_is_not_used():
@@ -121,61 +123,63 @@
 
 @pytest.mark.parametrize(("span", "sent"), [(500 * MS, True), (900 * MS, False)])
 def test_a_keyed_repeat_comes_to_its_instance_within_the_window_or_does_not_begin(span, sent):
-    # Guards the window: it is counted to when the repeat arrives, after a connect that may take long.
-    scene = Scene(instances=2, info=KEYED)
+    # The window has to include the time of the connect, which may be long: a repeat that arrives after it
+    # would run twice.
+    scene = Scene(instances=2, info=WITH_KEYED_CLASS)
     client = scene.ask("/apply")
     _, first = scene.take("t1", accept=False)
 
-    def passes():
+    def advance_clock():
         scene.loop.time += span
 
-    late_connects(scene, passes)
+    run_after_connects(scene, advance_clock)
     first.close()  # it may have run
     scene.loop.settle()
     scene.loop.skip(300 * MS)
-    assert (b"X-Txn: t1" in written(scene)) is sent
+    assert (b"X-Txn: t1" in bytes_on_new_connections(scene)) is sent
     if not sent:
         scene.loop.skip(SECOND)
         assert b" 502 " in client.message()[0]
 
 
-# Giving up
+# Stopping an attempt
 
 
 def test_where_no_second_copy_is_allowed_a_job_waits_until_its_instance_has_heard_that_it_is_given_up():
-    # Guards against two copies at once: an instance that is cut off has not heard, and works on.
-    scene = Scene(instances=2, **ALONE)
+    # An instance that can't be reached has not been notified and goes on with the job: a push to another
+    # instance would make two copies.
+    scene = Scene(instances=2, **NO_SECOND_COPIES)
     client = scene.ask()
     name, runner = scene.take("t1")
     address = scene.runners[name].address
     runner.close()
-    scene.runners[name].sock.close()  # nothing reaches it
+    scene.runners[name].sock.close()  # the instance can't be reached
     scene.loop.settle()
     scene.host._carry_out([Cancel(1, 0)])
     scene.loop.skip(SECOND)
     other = next(r for n, r in scene.runners.items() if n != name)
     assert other.untouched() and scene.host.open_requests
-    scene.runners[name] = back = Listener(scene.loop, address)
+    scene.runners[name] = restarted_listener = Listener(scene.loop, address)
     scene.loop.skip(SECOND)
-    heard = back.accept()
-    assert heard.message()[0].startswith(b"DELETE /jobs/t1 ")
-    heard.send(b"HTTP/1.1 204 No\r\n\r\n")
+    delete_connection = restarted_listener.accept()
+    assert delete_connection.message()[0].startswith(b"DELETE /jobs/t1 ")
+    delete_connection.send(b"HTTP/1.1 204 No\r\n\r\n")
     scene.loop.settle()
     scene.loop.skip(300 * MS)
     assert b"X-Txn: t1" in other.accept().message()[0]
-    elsewhere = next(n for n in scene.runners if n != name)
-    scene.call(**{"id": "t1", "from": elsewhere, "state": "done", "result": "r"})
+    sent_elsewhere = next(n for n in scene.runners if n != name)
+    scene.call(**{"id": "t1", "from": sent_elsewhere, "state": "done", "result": "r"})
     assert client.message()[1] == b"r"
 
 
 @pytest.mark.parametrize(("answer", "elsewhere"), [(TAKEN, False), (NACK, True), (b"", True)])
 def test_what_an_instance_has_said_already_is_heard_before_it_is_given_up(answer, elsewhere):
-    # Guards against a second copy: a 202 stands unread at the moment of a close, which then gives up nothing.
-    scene = Scene(instances=2, **ALONE)
+    # With a 202 still unread, closing the connection does not stop the accepted job; two copies would run.
+    scene = Scene(instances=2, **NO_SECOND_COPIES)
     client = scene.ask()
     name, runner = scene.take("t1", accept=False)
     runner.send(answer)
-    scene.host._carry_out([Cancel(1, 0)])  # with no turn of the loop between
+    scene.host._carry_out([Cancel(1, 0)])  # before the loop runs another turn
     scene.loop.settle()
     scene.loop.skip(300 * MS)
     (other,) = (r for n, r in scene.runners.items() if n != name)
@@ -186,8 +190,8 @@
 
 @pytest.mark.parametrize("way", ["breaks off", "never ends"])
 def test_with_the_head_of_a_202_the_job_is_taken_however_that_answer_ends(way):
-    # Guards against a second copy: the instance works on it, and calls back.
-    scene = Scene(instances=2, **ALONE)
+    # The instance has accepted the job and will send a callback: another attempt would make a second copy.
+    scene = Scene(instances=2, **NO_SECOND_COPIES)
     client = scene.ask()
     name, runner = scene.take("t1", accept=False)
     runner.send(b"HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf")
@@ -196,16 +200,17 @@
         runner.close()
     scene.loop.settle()
     scene.loop.skip(SECOND)
-    assert written(scene) == b""
+    assert bytes_on_new_connections(scene) == b""
     if way == "never ends":
-        scene.host._carry_out([Cancel(1, 0)])  # and it is given up by a DELETE, not by a close
+        scene.host._carry_out([Cancel(1, 0)])  # stopped by a DELETE, not by closing the connection
         assert scene.runners[name].accept().message()[0].startswith(b"DELETE /jobs/t1 ")
     scene.call(**{"id": "t1", "from": name, "state": "done", "result": "r"})
     assert client.message()[1] == b"r"
 
 
 def test_a_second_answer_that_comes_late_is_no_answer_to_what_may_not_be_repeated():
-    # Guards a charge: taken for its own, a nack that the instance said twice would send it elsewhere as well.
+    # A repeated answer of the instance, a nack, would be taken for the answer to the charge and send the
+    # charge to another instance as well.
     scene = Scene(instances=1)
     client = scene.ask()
     _, runner = scene.take("t1")
