--- a/tests/net/test_history.py
+++ b/tests/net/test_history.py
@@ -1,4 +1,4 @@
-"""The rules on sockets over scripted histories: whatever peers do, each request has one answer in time."""
+"""Generated histories of events on sockets: whatever peers do, each request gets one answer in time."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -22,24 +22,24 @@
 )
 
 
-class Sent:
-    """A request that arrived at an instance, as the instance sees it."""
+class ReceivedRequest:
+    """A request received by an instance, from the instance's point of view."""
 
     def __init__(self, peer, name, txn):
         self.peer, self.name, self.txn = peer, name, txn
-        self.unrun = self.over = self.answered = self.deleted = False
+        self.not_run = self.over = self.answered = self.deleted = False
 
 
 class Referee:
-    """Plays the peers and holds the dispatcher to the rules."""
+    """Plays the clients and instances, and checks the rules that the dispatcher has to keep."""
 
     def __init__(self):
         self.scene = Scene(instances=3)
-        self.clients, self.sent, self.peers = {}, [], []
-        self.asked, self.revision = 0, 1
+        self.clients, self.received, self.peers = {}, [], []
+        self.request_count, self.revision = 0, 1
 
-    def look(self):
-        """Take in what has come to the instances and the clients."""
+    def collect(self):
+        """Run the loop, and read the requests that have arrived at the instances."""
         scene = self.scene
         for _ in range(6):
             scene.loop.turn(0)
@@ -54,22 +54,24 @@
                 head = peer.message()[0]
                 if head.startswith(b"DELETE"):
                     txn = head.split()[1].rpartition(b"/")[2].decode()
-                    for s in self.sent:
+                    for s in self.received:
                         s.deleted = s.deleted or (s.txn == txn and s.name == name)
                     peer.send(b"HTTP/1.1 204 Gone\r\n\r\n")
                     continue
                 txn = next(line[7:] for line in head.decode().split("\r\n") if line.startswith("X-Txn: "))
-                self.arrived(Sent(peer, name, txn))
+                self.record_arrival(ReceivedRequest(peer, name, txn))
 
-    def arrived(self, new):
+    def record_arrival(self, new):
+        """Check that a request may arrive at this instance after its earlier attempts."""
         path = self.clients[new.txn][1]
-        for old in (s for s in self.sent if s.txn == new.txn):
+        for old in (s for s in self.received if s.txn == new.txn):
             ended = old.over or old.deleted or old.peer.ended
-            assert path == "/read" or old.unrun, "an unsafe request went out again"
+            assert path == "/read" or old.not_run, "an unsafe request went out again"
             assert old.name != new.name or ended, "two attempts of a request at one instance"
-        self.sent.append(new)
+        self.received.append(new)
 
     def check(self):
+        """Check the answers that the clients have so far."""
         for txn, (peer, path, deadline, results) in self.clients.items():
             if peer is None:
                 continue
@@ -84,47 +86,48 @@
             if status == 200:
                 assert body in results
             if status == 503 and path == "/charge":
-                assert all(s.unrun for s in self.sent if s.txn == txn), "refused what may have run"
+                assert all(s.not_run for s in self.received if s.txn == txn), "refused what may have run"
 
-    def step(self, kind, *what):
+    def step(self, kind, *args):
+        """Apply one event of a history, then check the rules."""
         scene = self.scene
-        open_now = [s for s in self.sent if not s.over]
+        open_requests = [s for s in self.received if not s.over]
         if kind == "ask":
-            self.asked += 1
-            txn = f"t{self.asked}"
-            peer = scene.ask(what[0], txn, what[1])
-            self.clients[txn] = (peer, what[0], scene.loop.time + what[1] * MS, [])
-        elif kind == "answer" and (waiting := [s for s in open_now if not s.answered]):
-            s = waiting[what[0] % len(waiting)]
+            self.request_count += 1
+            txn = f"t{self.request_count}"
+            peer = scene.ask(args[0], txn, args[1])
+            self.clients[txn] = (peer, args[0], scene.loop.time + args[1] * MS, [])
+        elif kind == "answer" and (waiting := [s for s in open_requests if not s.answered]):
+            s = waiting[args[0] % len(waiting)]
             s.answered = True
-            s.over = what[1] != TAKEN
-            s.unrun = what[1] == NACK
+            s.over = args[1] != TAKEN
+            s.not_run = args[1] == NACK
             if not s.peer.ended:
-                s.peer.send(what[1])
-            if what[1] in (b"", b"junk"):
+                s.peer.send(args[1])
+            if args[1] in (b"", b"junk"):
                 s.peer.close()
                 self.peers = [(n, p) for n, p in self.peers if p is not s.peer]
-        elif kind == "call" and self.sent:
-            s = self.sent[what[0] % len(self.sent)]  # over or not: calls may be stale
-            if not s.over and what[1] != "started":
-                s.over, s.unrun = True, what[1] == "returned"
-            result = f"{s.name} {s.txn} {what[0]}"
+        elif kind == "call" and self.received:
+            s = self.received[args[0] % len(self.received)]  # over or not, since callbacks may be stale
+            if not s.over and args[1] != "started":
+                s.over, s.not_run = True, args[1] == "returned"
+            result = f"{s.name} {s.txn} {args[0]}"
             self.clients[s.txn][3].append(result.encode())
-            assert b" 204 " in scene.call(**{"id": s.txn, "from": s.name, "state": what[1], "result": result})
+            assert b" 204 " in scene.call(**{"id": s.txn, "from": s.name, "state": args[1], "result": result})
         elif kind == "leave" and self.clients:
-            txn = list(self.clients)[what[0] % len(self.clients)]
+            txn = list(self.clients)[args[0] % len(self.clients)]
             if self.clients[txn][0] is not None:
                 self.clients[txn][0].close()
                 self.clients[txn] = (None, *self.clients[txn][1:])
         elif kind == "table":
             self.revision += 1
-            table = scene.table(f"s-{what[0]}", phase=what[1], complete=False, revision=self.revision)
+            table = scene.table(f"s-{args[0]}", phase=args[1], complete=False, revision=self.revision)
             scene.discovery.tell(scene.discovery.list.take(table, cached=False))
         elif kind == "pass":
-            for _ in range(0, what[0], 50):
+            for _ in range(0, args[0], 50):
                 scene.loop.skip(50 * MS)
-                self.look()
-        self.look()
+                self.collect()
+        self.collect()
         self.check()
 
 
