--- a/tests/net/test_less_room.py
+++ b/tests/net/test_less_room.py
@@ -1,4 +1,4 @@
-"""Messages cut at any byte, quiet connections, clients that walk off: nothing is lost and nothing stays."""
+"""Messages split at any byte, silent peers and clients that leave: nothing is lost and nothing leaks."""
 
 import json
 
@@ -7,8 +7,8 @@
 from tests.net.scene import SECOND, TAKEN, Scene, callback
 
 
-def in_two(scene, peer, data, at):
-    """Send it in two pieces, the second once the first has been read."""
+def send_in_two(scene, peer, data, at):
+    """Send the data in two pieces, the second one after the first has been read."""
     peer.send(data[:at])
     for _ in range(3):
         scene.loop.turn(0.0005)
@@ -32,19 +32,19 @@
 @pytest.mark.parametrize("form", [request, chunked])
 def test_a_job_its_202_and_its_call_back_may_be_cut_at_any_byte(form):
     scene = Scene(instances=1)
-    client, back, runner = scene.client(), scene.client(), None
+    client, callbacks, runner = scene.client(), scene.client(), None
     length = len(form("t000"))
     for at in range(1, length):
         txn = f"t{at:03}"
-        in_two(scene, client, form(txn), at)
+        send_in_two(scene, client, form(txn), at)
         runner = runner or scene.runners["s-0"].accept()
         head, body = runner.message()
         assert txn.encode() in head and body == b"hello"
-        in_two(scene, runner, TAKEN, at % len(TAKEN))
+        send_in_two(scene, runner, TAKEN, at % len(TAKEN))
         call = json.dumps({"id": txn, "from": "s-0", "state": "done", "result": "r"}).encode()
         call = callback(call)
-        in_two(scene, back, call, at % len(call))
-        assert b" 204 " in back.message()[0] and client.message()[1] == b"r"
+        send_in_two(scene, callbacks, call, at % len(call))
+        assert b" 204 " in callbacks.message()[0] and client.message()[1] == b"r"
     assert scene.nonzero_metrics() == {"answered.read": length - 1, "sends": length - 1, "cluster_size": 1}
     assert not scene.host.tracked_requests and not scene.loop.errors
 
@@ -54,7 +54,7 @@
     data = b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n"
     for at in range(1, len(data)):
         peer = scene.operator()
-        in_two(scene, peer, data, at)
+        send_in_two(scene, peer, data, at)
         assert b" 200 " in peer.message()[0]
 
 
@@ -71,7 +71,7 @@
             ).encode()
             + b"\n"
         )
-        in_two(scene, watch, b"%x\r\n%s\r\n" % (len(line), line), at % (len(line) + 3) or 1)
+        send_in_two(scene, watch, b"%x\r\n%s\r\n" % (len(line), line), at % (len(line) + 3) or 1)
         scene.loop.until(lambda at=at: scene.discovery.version == 10 + at)
         assert scene.discovery.active(b"s-1") is (at % 2 == 0)
 
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("how", ["walks off", "falls quiet"])
 def test_whoever_leaves_or_falls_quiet_at_any_stage_leaves_nothing_behind(stage, how):
     scene = Scene(instances=1)
-    descriptors = scene.clients.count
+    connections = scene.clients.count
     data = request("t1")
     client = scene.client()
     client.send({"connected": b"", "half a head": data[:30], "half a body": data[:-2]}.get(stage, data))
@@ -102,14 +102,14 @@
     if how == "walks off":
         client.close()
         scene.loop.settle()
-        assert not scene.host.open_requests and scene.clients.count == descriptors
-        if stage in ("taken", "started"):  # what runs for nobody is called off
-            deleted = scene.runners["s-0"]
-            head = runner.pull() or deleted.accept().message()[0]
+        assert not scene.host.open_requests and scene.clients.count == connections
+        if stage in ("taken", "started"):  # an attempt whose client has left is cancelled
+            listener = scene.runners["s-0"]
+            head = runner.pull() or listener.accept().message()[0]
             assert b"DELETE /jobs/t1" in head
-    # Whatever it is that falls quiet: known clients may be idle for 90 s, nothing is held for longer.
+    # Known clients may be idle for 90 s; nothing is kept for longer, whichever peer is silent.
     for _ in range(30):
         scene.loop.skip(4 * SECOND)
     assert not scene.host.tracked_requests and not scene.host.open_requests and not scene.ledger.held
-    assert scene.clients.count == descriptors and scene.instances.count == 0
+    assert scene.clients.count == connections and scene.instances.count == 0
     client.close()
