--- a/tests/net/test_deployments.py
+++ b/tests/net/test_deployments.py
@@ -1,6 +1,6 @@
-"""What a deployment's settings say is allowed or told, played on sockets with scripted peers.
+"""Settings of a deployment that allow something or say what is reported, on sockets with scripted peers.
 
-Each case fails if the setting is read otherwise: nothing may hold for one deployment by luck alone.
+Each case fails if its setting is ignored or misread, so that no deployment works by luck alone.
 """
 
 import pytest
@@ -9,13 +9,13 @@
 
 
 def settings(caps=None, load=None, family=None, **top):
-    """The scene's settings with other values in these sections."""
+    """Return the default settings of a scene with other values in these sections."""
     sections = {"caps": caps, "load-report": load, "family-info": family}
     return {**INFO, **{key: {**INFO[key], **(each or {})} for key, each in sections.items()}, **top}
 
 
-ANSWERS = {"via": "piggyback", "fields": ["busy", "q", "rate", "x0"]}
-KEYED = [
+REPORTS_IN_ANSWERS = {"via": "piggyback", "fields": ["busy", "q", "rate", "x0"]}
+KEYED_CLASSES = [
     {
         "name": "read",
         "effect": "idempotency_key",
@@ -32,7 +32,7 @@
 
 
 def test_reports_in_answers_are_learnt_from_an_objects_load():
-    scene = Scene(info=settings(load=ANSWERS))
+    scene = Scene(info=settings(load=REPORTS_IN_ANSWERS))
     client = scene.ask()
     scene.take("t1")
     scene.call(
@@ -48,7 +48,7 @@
 
 
 def test_reports_in_answers_are_learnt_from_an_answers_header():
-    scene = Scene(info=settings(load=ANSWERS))
+    scene = Scene(info=settings(load=REPORTS_IN_ANSWERS))
     client = scene.ask()
     _, peer = scene.take("t1", accept=False)
     assert client.sock and not worker(scene, "s-0").signature
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("spoilt", [b"util=,x0=", b"x0=nan", b"x0=-3", b"{", b"\xff\xfe", b"x0=1e400", b""])
 def test_a_spoilt_report_in_an_answer_is_told_and_harms_nothing(spoilt, logged):
-    scene = Scene(info=settings(load=ANSWERS))
+    scene = Scene(info=settings(load=REPORTS_IN_ANSWERS))
     client = scene.ask()
     _, peer = scene.take("t1", accept=False)
     peer.send(
@@ -72,13 +72,13 @@
     scene.loop.until(lambda: scene.host._by_txn["t1"].attempts[0].nacked)
     assert worker(scene, "s-0").most == 0 and not scene.host.faults and not scene.loop.errors
     assert len([line for line in logged if "s-0: its load report is spoilt" in line]) == 1
-    assert not client.pull()  # it is tried again
+    assert not client.pull()  # the request is retried
 
 
 @pytest.mark.parametrize("probes", [True, False])
 def test_instances_are_probed_only_where_probes_are_allowed(probes):
     scene = Scene(info=settings(caps={"probes": probes}))
-    scene.loop.skip(2 * SECOND)  # with no job: what comes to the instance is a probe
+    scene.loop.skip(2 * SECOND)  # without a job, the instance receives only probes
     runner, heads = scene.runners["s-0"], []
     while not runner.untouched():
         heads.append(runner.accept().message()[0])
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("copies", [True, False])
 def test_no_second_copy_goes_out_before_the_first_is_given_up_where_none_are_allowed(copies):
-    # Failure: the push to the next instance overtook the DELETE of the one before, and both had the job.
+    # Failure: the push to the next instance overtook the DELETE to the previous one, and both ran the job.
     scene = Scene(instances=2, info=settings(caps={"second-copies": copies, "dial-timeout": 60 * SECOND}))
     client = scene.ask()
     first, peer = scene.take("t1")
@@ -125,12 +125,12 @@
     client.close()
     scene.loop.until(lambda: not scene.host.open_requests)
     scene.loop.settle()
-    assert peer.pull().startswith(b"DELETE /jobs/t1 ") is cancels  # on the connection that was kept
+    assert peer.pull().startswith(b"DELETE /jobs/t1 ") is cancels  # on the kept connection
 
 
 @pytest.mark.parametrize(("waited", "again"), [(0, True), (3 * SECOND, False)])
 def test_a_keyed_job_goes_to_any_instance_again_within_the_time_that_repeats_are_dropped(waited, again):
-    scene = Scene(instances=3, info=settings(classes=KEYED))
+    scene = Scene(instances=3, info=settings(classes=KEYED_CLASSES))
     client = scene.ask()
     _, peer = scene.take("t1", accept=False)
     if waited:
@@ -154,7 +154,7 @@
 def test_a_job_has_as_many_attempts_as_the_settings_allow(most):
     scene = Scene(instances=6, info=settings(caps={"max-attempts": most}))
     for runner in scene.runners.values():
-        runner.sock.close()  # each refuses its connection: the job never runs
+        runner.sock.close()  # connections are refused, so the job never runs
     client = scene.ask()
     scene.loop.until(lambda: scene.host.has_request("t1"))
     tried = scene.host._by_txn["t1"].attempts
