--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -1,4 +1,4 @@
-"""Every scene is left in order, and what it still held is counted."""
+"""Fixtures that close each test's scenes and check that nothing is left open."""
 
 import pytest
 from loguru import logger
@@ -7,16 +7,17 @@
 
 
 @pytest.fixture(autouse=True)
-def leaving():
-    Scene.made.clear()
+def close_scenes():
+    """Close the scenes that the test has created, and check that they leave nothing open."""
+    Scene.created.clear()
     yield
-    for scene in Scene.made:
+    for scene in Scene.created:
         scene.close()
 
 
 @pytest.fixture
 def logged():
-    """The lines that the program logs in a test."""
+    """The messages that the program logs during a test."""
     lines = []
     sink = logger.add(lines.append, level="INFO", format="{message}")
     yield lines
--- a/tests/net/scene.py
+++ b/tests/net/scene.py
@@ -1,4 +1,4 @@
-"""A dispatcher with scripted peers on loopback, and a clock that stands still until a test moves it."""
+"""A dispatcher with scripted peers on loopback, and a clock that only the test advances."""
 
 from __future__ import annotations
 
@@ -53,11 +53,11 @@
         "tip-multiple": 4.0,
     },
 }
-GIVEN_TIME = 60  # real seconds that a test waits for loopback at most; only a broken program needs them
+WAIT_LIMIT_S = 60  # real time; only a test that fails waits so long for loopback
 
 
 class ManualClockLoop(Loop):
-    """Time passes only by `skip`."""
+    """An event loop whose clock advances only by `skip`."""
 
     def __init__(self) -> None:
         self.errors: list[Exception] = []
@@ -68,14 +68,15 @@
         return self.time
 
     def until(self, condition):
-        end = time.monotonic() + GIVEN_TIME
+        """Run the loop until the condition returns a true value, and return that value."""
+        end = time.monotonic() + WAIT_LIMIT_S
         while not (value := condition()):
-            assert time.monotonic() < end, "it did not come"
+            assert time.monotonic() < end, "the condition was not met in time"
             self.turn(0.01)
         return value
 
     def skip(self, span: int) -> None:
-        """Let time pass in small steps, so that one timer's consequences come before the next."""
+        """Advance the clock in small steps, so that the effects of one timer precede the next timer."""
         end = self.time + span
         while self.time < end:
             self.time = min(end, self.time + 10 * MS)
@@ -83,12 +84,13 @@
         self.turn(0)
 
     def settle(self) -> None:
+        """Run the loop until what is under way on loopback has been processed."""
         for _ in range(20):
             self.turn(0.001)
 
 
 class Peer:
-    """A scripted end of one connection."""
+    """The test's end of one connection. `ended` is set once the dispatcher has closed it."""
 
     def __init__(self, loop: ManualClockLoop, sock: socket.socket) -> None:
         self.loop, self.sock, self.data, self.ended = loop, sock, b"", False
@@ -98,6 +100,7 @@
         self.sock.sendall(data)
 
     def pull(self) -> bytes:
+        """Read what has arrived, and return all bytes that `message` has not consumed yet."""
         try:
             data = self.sock.recv(65536)
             self.ended = self.ended or not data
@@ -109,58 +112,61 @@
         return self.data
 
     def message(self) -> tuple[bytes, bytes]:
-        """The next whole message: its head and its body."""
+        """Wait for the next complete message; return its head and its body."""
 
-        def whole():
-            head, mark, rest = self.pull().partition(b"\r\n\r\n")
+        def read_whole():
+            head, separator, rest = self.pull().partition(b"\r\n\r\n")
             length = 0
             for line in head.lower().split(b"\r\n"):
                 if line.startswith(b"content-length:"):
                     length = int(line.split(b":")[1])
-            if mark and len(rest) >= length:
+            if separator and len(rest) >= length:
                 self.data = rest[length:]
                 return head, rest[:length]
             return None
 
-        return self.loop.until(whole)
+        return self.loop.until(read_whole)
 
     def close(self) -> None:
         self.sock.close()
 
 
 class Listener:
-    """A scripted instance or discovery."""
+    """The listening socket of a scripted instance or of the discovery service."""
 
     def __init__(self, loop: ManualClockLoop, address: tuple[str, int] = ("127.0.0.1", 0)) -> None:
         self.loop = loop
         self.sock = socket.create_server(address)
         self.sock.setblocking(False)
-        self.peers: list[Peer] = []  # an accepted connection stays open though the test drops it
+        self.peers: list[Peer] = []  # keeps accepted connections open when the test drops its reference
         self.address = self.sock.getsockname()
 
     def accept(self) -> Peer:
-        def taken():
+        """Wait for the next connection and accept it."""
+
+        def try_accept():
             try:
                 self.peers.append(Peer(self.loop, self.sock.accept()[0]))
                 return self.peers[-1]
             except BlockingIOError:
                 return None
 
-        return self.loop.until(taken)
+        return self.loop.until(try_accept)
 
     def untouched(self) -> bool:
+        """Whether no connection waits to be accepted, after the loop has settled."""
         self.loop.settle()
         return self.untouched_now()
 
     def untouched_now(self) -> bool:
-        """Whether nobody waits to be accepted; who does stays there."""
+        """Whether no connection waits to be accepted; accepts none."""
         return not select.select([self.sock], [], [], 0)[0]
 
 
 class Scene:
-    """The parts of a dispatcher, wired as `__main__` wires them."""
+    """The parts of a dispatcher, wired as `__main__` wires them, with scripted peers."""
 
-    made: ClassVar[list[Scene]] = []  # by the test that runs
+    created: ClassVar[list[Scene]] = []  # by the current test
 
     def __init__(
         self,
@@ -172,7 +178,10 @@
         info: dict = INFO,
         **caps,
     ) -> None:
-        """`beside`: another process of the same dispatcher, in the same world."""
+        """Build a dispatcher; with `beside`, another process of that one, with the same clock and peers.
+
+        Keyword arguments beyond the named ones go into the `caps` section of the settings.
+        """
         info = {**info, "caps": {**info["caps"], **caps}}
         self.settings: Settings = read_settings(info)[0]
         self.loop, pool = beside.loop if beside else ManualClockLoop(), BufferPool()
@@ -192,21 +201,22 @@
         )
         self.admin = Management(self.loop, pool, verbs(self.parts))
         self.admin.listen(("127.0.0.1", 0))
-        Scene.made.append(self)
+        Scene.created.append(self)
         if listens:
             self.serve()
 
     def close(self) -> None:
-        """End what is open, while all of it is whole; nothing of the clients' side may stay behind."""
+        """Close the client connections, and check that the client side leaves nothing open."""
         self.clients.listener.pause()
         for connection in list(self.clients._connections):
             connection.task.cancel()
         self.loop.settle()
         assert not self.clients._connections and not self.ledger.held and not self.host.open_requests
-        lines = (self.clients._idle, self.clients._silent, self.clients._begun, self.clients._lingering)
-        assert not any(lines)
+        queues = (self.clients._idle, self.clients._silent, self.clients._begun, self.clients._lingering)
+        assert not any(queues)
 
     def serve(self) -> None:
+        """Listen for clients."""
         self.clients.listen(("127.0.0.1", 0))
 
     def table(self, *names: str, phase: str = "active", complete: bool = True, revision: int = 1) -> dict:
@@ -229,21 +239,25 @@
         }
 
     def client(self) -> Peer:
+        """Connect a client."""
         return Peer(self.loop, socket.create_connection(self.clients.address))
 
     def known_client(self) -> Peer:
-        """A client that is no stranger any more."""
+        """Connect a client that the dispatcher knows: it has completed a request."""
         peer = self.client()
         peer.send(READY)
         assert b" 200 " in peer.message()[0]
         return peer
 
     def wait_until_closed(self, peer: Peer) -> None:
-        """Wait until its connection has ended."""
+        """Wait until the dispatcher has closed the peer's connection."""
         self.loop.until(lambda: peer.pull() is not None and peer.ended)
 
     def take(self, txn: str, accept: bool = True) -> tuple[str, Peer]:
-        """Play the instance that the job's last attempt went to: its name and the connection."""
+        """Receive a job's last attempt as its instance; return the instance's name and the connection.
+
+        With `accept`, the instance answers 202.
+        """
         self.loop.until(lambda: self.host.has_request(txn))
         attempt = self.host._by_txn[txn].attempts[-1]
         peer = self.runners[attempt.instance.decode()].accept()
@@ -254,15 +268,17 @@
         return attempt.instance.decode(), peer
 
     def operator(self, data: bytes = b"") -> Peer:
+        """Connect to the admin listener and send the data."""
         peer = Peer(self.loop, socket.create_connection(self.admin.listener.address))
         peer.send(data)
         return peer
 
     def operate(self, method: str, path: str) -> tuple[int, bytes]:
+        """Send a request to the admin listener; return the status and body of the answer."""
         return operate(self.loop, self.admin.listener.address, method, path)
 
     def nonzero_metrics(self) -> dict[str, int]:
-        """The metrics, less those that are 0."""
+        """Return the metrics that are not 0."""
         lines = self.operate("GET", "/status/metrics")[1].decode().splitlines()
         each = [re.fullmatch(r"app\.([a-z_.]+):(\d+)\|[cg]", line) for line in lines]
         return {match[1]: int(match[2]) for match in each if int(match[2])}
@@ -275,6 +291,7 @@
         body: bytes = b"hi",
         peer: Peer | None = None,
     ) -> Peer:
+        """Send a client's request, on a new connection unless `peer` is given; return the connection."""
         peer = peer or self.client()
         peer.send(
             f"POST {path} HTTP/1.1\r\nHost: api\r\nX-Txn: {txn}\r\nX-Remaining-Ms: {remaining}\r\n"
@@ -284,10 +301,11 @@
         return peer
 
     def call(self, **fields: object) -> bytes:
-        """A call-back; its status line."""
+        """Send a callback of an instance; return the status line of the answer."""
         return self.call_raw(json.dumps(fields).encode())
 
     def call_raw(self, body: bytes) -> bytes:
+        """Send a callback with this body; return the status line of the answer."""
         peer = self.client()
         peer.send(callback(body))
         status = peer.message()[0].split(b"\r\n")[0]
@@ -296,7 +314,10 @@
 
 
 def operate(loop: ManualClockLoop, admin: tuple[str, int], method: str, path: str) -> tuple[int, bytes]:
-    """An operator's call: its status and the body of the answer; then its connection has to end."""
+    """Send a request to an admin listener; return the status and body of the answer.
+
+    The dispatcher has to close the connection after it.
+    """
     peer = Peer(loop, socket.create_connection(admin))
     peer.send(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     head, body = peer.message()
@@ -306,6 +327,7 @@
 
 
 def callback(body: bytes) -> bytes:
+    """Return the bytes of a callback request with this body."""
     return b"POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
