--- a/pulleyroute/net/host.py
+++ b/pulleyroute/net/host.py
@@ -534,8 +534,8 @@
         if job is None or attempt.over or attempt.stopping:
             return False
         if not job.answered and job.request.client_gone is not None and job.request.client_gone():
-            # The client may have closed its connection behind bytes that are still unread. The instance would
-            # run a request whose answer has no receiver
+            # The end of the client's connection may be hidden behind unread bytes. The instance would run a
+            # request whose answer has no receiver
             # (test_what_has_not_begun_when_its_client_goes_does_not_begin).
             self.abandon(job)
         if job.answered or not self._is_allowed(job, attempt):
@@ -546,9 +546,9 @@
     def _is_allowed(self, job: Job, attempt: Attempt) -> bool:
         """Whether the time, the list of instances and the job's earlier attempts allow this attempt.
 
-        After the attempt's time nobody waits for its result, and by a list that is not usable an instance may
-        be leaving already. Where the settings allow no second copies, no attempt begins while another is
-        open.
+        After the attempt's time-out its result would be useless. While the list is not usable, the instance
+        may have begun to leave. Where the settings allow no second copies, no attempt begins while another
+        one may be running.
         """
         now, instance, discovery = self._loop.now(), attempt.instance, self._discovery
         if now >= attempt.timeout_at or not discovery.freshness.usable:
--- a/pulleyroute/net/loop.py
+++ b/pulleyroute/net/loop.py
@@ -280,7 +280,7 @@
             if task is not None:
                 task.step(WaitResult.READY)
             elif fd in self._masks:
-                # Epoll reports a hang-up even if no task waits, and would do so on every turn: a busy loop.
+                # Epoll reports a hang-up even if no task waits. Left registered, it would make the loop spin.
                 self.forget(fd)
         now = self.now()
         while self._timers and self._timers[0][0] <= now:
--- a/tests/net/scene.py
+++ b/tests/net/scene.py
@@ -220,6 +220,7 @@
         self.clients.listen(("127.0.0.1", 0))
 
     def table(self, *names: str, phase: str = "active", complete: bool = True, revision: int = 1) -> dict:
+        """Return a list of instances, or a change of it, as discovery sends it."""
         return {
             "revision": revision,
             "complete": complete,
--- a/tests/net/test_history.py
+++ b/tests/net/test_history.py
@@ -54,8 +54,8 @@
                 head = peer.message()[0]
                 if head.startswith(b"DELETE"):
                     txn = head.split()[1].rpartition(b"/")[2].decode()
-                    for s in self.received:
-                        s.deleted = s.deleted or (s.txn == txn and s.name == name)
+                    for request in self.received:
+                        request.deleted = request.deleted or (request.txn == txn and request.name == name)
                     peer.send(b"HTTP/1.1 204 Gone\r\n\r\n")
                     continue
                 txn = next(line[7:] for line in head.decode().split("\r\n") if line.startswith("X-Txn: "))
@@ -64,7 +64,7 @@
     def record_arrival(self, new):
         """Check that a request may arrive at this instance after its earlier attempts."""
         path = self.clients[new.txn][1]
-        for old in (s for s in self.received if s.txn == new.txn):
+        for old in (request for request in self.received if request.txn == new.txn):
             ended = old.over or old.deleted or old.peer.ended
             assert path == "/read" or old.not_run, "an unsafe request went out again"
             assert old.name != new.name or ended, "two attempts of a request at one instance"
@@ -86,34 +86,38 @@
             if status == 200:
                 assert body in results
             if status == 503 and path == "/charge":
-                assert all(s.not_run for s in self.received if s.txn == txn), "refused what may have run"
+                assert all(
+                    request.not_run for request in self.received if request.txn == txn
+                ), "refused what may have run"
 
     def step(self, kind, *args):
         """Apply one event of a history, then check the rules."""
         scene = self.scene
-        open_requests = [s for s in self.received if not s.over]
+        open_requests = [request for request in self.received if not request.over]
         if kind == "ask":
             self.request_count += 1
             txn = f"t{self.request_count}"
             peer = scene.ask(args[0], txn, args[1])
             self.clients[txn] = (peer, args[0], scene.loop.time + args[1] * MS, [])
-        elif kind == "answer" and (waiting := [s for s in open_requests if not s.answered]):
-            s = waiting[args[0] % len(waiting)]
-            s.answered = True
-            s.over = args[1] != TAKEN
-            s.not_run = args[1] == NACK
-            if not s.peer.ended:
-                s.peer.send(args[1])
+        elif kind == "answer" and (waiting := [request for request in open_requests if not request.answered]):
+            request = waiting[args[0] % len(waiting)]
+            request.answered = True
+            request.over = args[1] != TAKEN
+            request.not_run = args[1] == NACK
+            if not request.peer.ended:
+                request.peer.send(args[1])
             if args[1] in (b"", b"junk"):
-                s.peer.close()
-                self.peers = [(n, p) for n, p in self.peers if p is not s.peer]
+                request.peer.close()
+                self.peers = [(n, p) for n, p in self.peers if p is not request.peer]
         elif kind == "call" and self.received:
-            s = self.received[args[0] % len(self.received)]  # over or not, since callbacks may be stale
-            if not s.over and args[1] != "started":
-                s.over, s.not_run = True, args[1] == "returned"
-            result = f"{s.name} {s.txn} {args[0]}"
-            self.clients[s.txn][3].append(result.encode())
-            assert b" 204 " in scene.call(**{"id": s.txn, "from": s.name, "state": args[1], "result": result})
+            request = self.received[args[0] % len(self.received)]  # over or not, since callbacks may be stale
+            if not request.over and args[1] != "started":
+                request.over, request.not_run = True, args[1] == "returned"
+            result = f"{request.name} {request.txn} {args[0]}"
+            self.clients[request.txn][3].append(result.encode())
+            assert b" 204 " in scene.call(
+                **{"id": request.txn, "from": request.name, "state": args[1], "result": result}
+            )
         elif kind == "leave" and self.clients:
             txn = list(self.clients)[args[0] % len(self.clients)]
             if self.clients[txn][0] is not None:
--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -167,8 +167,8 @@
     scene.loop.settle()
     scene.loop.skip(300 * MS)
     assert b"X-Txn: t1" in other.accept().message()[0]
-    sent_elsewhere = next(n for n in scene.runners if n != name)
-    scene.call(**{"id": "t1", "from": sent_elsewhere, "state": "done", "result": "r"})
+    second_name = next(n for n in scene.runners if n != name)
+    scene.call(**{"id": "t1", "from": second_name, "state": "done", "result": "r"})
     assert client.message()[1] == b"r"
 
 
