--- a/benchmarks/capacity/hollow_discovery.py
+++ b/benchmarks/capacity/hollow_discovery.py
@@ -18,7 +18,7 @@
 
 from benchmarks.capacity.hollow_commands import answer, take_commands
 from pulleyroute.net.buffers import BufferPool
-from pulleyroute.net.http import Broken, Late, Malformed, Stream
+from pulleyroute.net.http import ConnectionFailed, DeadlineExceeded, Malformed, Stream
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Task, Wait
 from pulleyroute.net.process import on_error
 
@@ -108,7 +108,7 @@
                 yield from self._watch(stream, int(message.target.rpartition(b"=")[2]))
             else:
                 yield from stream.answer(200, self._whole(), [], True, None)
-        except (Broken, Late, Malformed):
+        except (ConnectionFailed, DeadlineExceeded, Malformed):
             pass
         finally:
             stream.close()
--- a/benchmarks/capacity/hollow_watches.py
+++ b/benchmarks/capacity/hollow_watches.py
@@ -18,7 +18,7 @@
 from benchmarks.capacity.hollow_config import GROUP
 from pulleyroute.fleet.records import Keys
 from pulleyroute.net.buffers import BufferPool
-from pulleyroute.net.http import Broken, Crowded, Late, connect
+from pulleyroute.net.http import ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, connect
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Wait
 from pulleyroute.net.process import on_error
 
@@ -44,7 +44,7 @@
             stream = yield from connect(
                 self._loop, self._pool, self._address, self._loop.now() + CONNECT_TIME
             )
-        except (Broken, Crowded, Late):
+        except (ConnectionFailed, ConnectionLimitReached, DeadlineExceeded):
             self.lost += 1
             return
         self.standing += 1
@@ -60,7 +60,7 @@
                 self.received += count or 0
                 if count is None:
                     yield Wait(stream.fileno(), READABLE)
-        except Broken:
+        except ConnectionFailed:
             pass
         self.standing -= 1
         self.lost += 1
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -15,7 +15,7 @@
 import h11
 
 from pulleyroute.net.buffers import BufferPool
-from pulleyroute.net.http import Broken, Late, Malformed, Stream, connect
+from pulleyroute.net.http import ConnectionFailed, DeadlineExceeded, Malformed, Stream, connect
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Wait
 
 DISCOVERY_PORT = 8500
@@ -68,7 +68,7 @@
                     self.loop.spawn(self.job(name, txn, message.body), f"job {txn}")
                 else:
                     yield from stream.answer(404, b"", [], False, None)
-        except (Broken, Malformed):
+        except (ConnectionFailed, Malformed):
             pass
         finally:
             stream.close()
@@ -116,7 +116,7 @@
         until = self.loop.now() + 1_000_000
         try:
             stream = yield from connect(self.loop, self.pool, (self.host, DISPATCHER_PORT), until)
-        except (Broken, Late):
+        except (ConnectionFailed, DeadlineExceeded):
             return
         try:
             head = h11.Request(
@@ -126,7 +126,7 @@
             )
             yield from stream.send(stream.frame(head, body), until)
             yield from stream.response(until)
-        except (Broken, Late, Malformed):
+        except (ConnectionFailed, DeadlineExceeded, Malformed):
             pass
         finally:
             stream.close()
--- a/pulleyroute/emulator/link.py
+++ b/pulleyroute/emulator/link.py
@@ -10,7 +10,7 @@
 import socket
 import struct
 
-from pulleyroute.net.http import Broken, Crowded, Late, dial
+from pulleyroute.net.http import ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, dial
 from pulleyroute.net.loop import READABLE, WRITABLE, Coroutine, Loop, Task, Wait
 
 LOOK = 10_000  # us between two looks whether a cut is over
@@ -88,9 +88,9 @@
             yield Wait(until=self._loop.now() + LOOK)
         try:
             if self.target is None:
-                raise Broken("nobody is there")
+                raise ConnectionFailed("nobody is there")
             far = yield from dial(self._loop, self.target, self._loop.now() + DIAL_TIME)
-        except (Broken, Crowded, Late):
+        except (ConnectionFailed, ConnectionLimitReached, DeadlineExceeded):
             self._drop(near, hard=True)
             return
         # Of each end one descriptor reads and another writes: the loop knows one task a descriptor.
--- a/pulleyroute/emulator/runner.py
+++ b/pulleyroute/emulator/runner.py
@@ -18,7 +18,14 @@
 
 from pulleyroute.emulator.exchange import exchange
 from pulleyroute.net.buffers import BufferPool
-from pulleyroute.net.http import Broken, Crowded, Late, Malformed, Stream, connect
+from pulleyroute.net.http import (
+    ConnectionFailed,
+    ConnectionLimitReached,
+    DeadlineExceeded,
+    Malformed,
+    Stream,
+    connect,
+)
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Wait
 
 CALLS = 10  # tries of a call-back
@@ -101,7 +108,7 @@
                 )
                 if not (yield from stream.answer(status, body, headers, False, None)):
                     return
-        except (Broken, Late, Malformed):
+        except (ConnectionFailed, DeadlineExceeded, Malformed):
             pass
         finally:
             stream.close()
@@ -159,7 +166,7 @@
         ).encode()
         for _ in range(CALLS):
             until = self._loop.now() + CALL_TIME
-            with contextlib.suppress(Broken, Crowded, Late, Malformed):
+            with contextlib.suppress(ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, Malformed):
                 stream = yield from connect(self._loop, self._pool, job.callback, until)
                 answer = yield from exchange(stream, b"POST", b"/callback", until, data)
                 if answer.status in (200, 204):
--- a/pulleyroute/emulator/store.py
+++ b/pulleyroute/emulator/store.py
@@ -17,7 +17,7 @@
 
 from pulleyroute.emulator.store_model import INVALID, Item, Refused, Request, Store
 from pulleyroute.net.buffers import BufferPool
-from pulleyroute.net.http import Broken, Late, Malformed, Message, Stream
+from pulleyroute.net.http import ConnectionFailed, DeadlineExceeded, Malformed, Message, Stream
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Task, Wait
 
 UNAVAILABLE = 14
@@ -161,7 +161,7 @@
                     return
                 if not (yield from stream.answer(status, body, [], False, None)):
                     return
-        except (Broken, Late, Malformed):
+        except (ConnectionFailed, DeadlineExceeded, Malformed):
             pass
         finally:
             self._streams.discard(stream)
--- a/pulleyroute/fleet/store.py
+++ b/pulleyroute/fleet/store.py
@@ -18,7 +18,13 @@
 
 from pulleyroute.net.backoff import Backoff
 from pulleyroute.net.buffers import BufferPool
-from pulleyroute.net.http import Broken, Crowded, Late, Malformed, connect
+from pulleyroute.net.http import (
+    ConnectionFailed,
+    ConnectionLimitReached,
+    DeadlineExceeded,
+    Malformed,
+    connect,
+)
 from pulleyroute.net.loop import Coroutine, Loop, Wait
 
 CALL_TIME = 1_000_000  # us
@@ -125,7 +131,7 @@
                 ],
             )
             yield from stream.send(stream.frame(head, data), until)
-        except (Broken, Crowded, Late, Malformed) as exc:
+        except (ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, Malformed) as exc:
             self._at += 1
             if stream is not None:
                 stream.close()
@@ -142,7 +148,7 @@
             value = json.loads(answer.body)
             if not isinstance(value, dict):
                 raise ValueError("not an object")
-        except (Broken, Late, Malformed, ValueError, RecursionError) as exc:
+        except (ConnectionFailed, DeadlineExceeded, Malformed, ValueError, RecursionError) as exc:
             self._at += 1
             raise Lost(str(exc) or "no answer in time", maybe=True) from None
         finally:
@@ -204,18 +210,26 @@
         try:
             answer = yield from stream.answer_head(self._loop.now() + CALL_TIME)
             if answer.status != 200:
-                raise Broken(f"status {answer.status}")
+                raise ConnectionFailed(f"status {answer.status}")
             rest = b""
             while True:
                 event = yield from stream.event(self._loop.now() + silence)
                 if not isinstance(event, h11.Data):
-                    raise Broken("the watch ended")
+                    raise ConnectionFailed("the watch ended")
                 *lines, rest = (rest + bytes(event.data)).split(b"\n")
                 if len(rest) > LARGEST:
-                    raise Broken("a line is too long")
+                    raise ConnectionFailed("a line is too long")
                 for line in lines:
                     self._heard(json.loads(line)["result"], heard)
-        except (Broken, Late, Malformed, ValueError, KeyError, TypeError, RecursionError) as exc:
+        except (
+            ConnectionFailed,
+            DeadlineExceeded,
+            Malformed,
+            ValueError,
+            KeyError,
+            TypeError,
+            RecursionError,
+        ) as exc:
             self._at += 1
             raise Lost(str(exc) or "silence", maybe=False) from None
         finally:
--- a/pulleyroute/grpc/back.py
+++ b/pulleyroute/grpc/back.py
@@ -17,7 +17,7 @@
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.discovery import DiscoveryClient
 from pulleyroute.net.host import Host
-from pulleyroute.net.http import Broken, Crowded, Headers, Late, dial
+from pulleyroute.net.http import ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, Headers, dial
 from pulleyroute.net.http2 import Code, Http2, Limits
 from pulleyroute.net.instance import Attempt, Ended, Gate, Probed, Rejected
 from pulleyroute.net.loop import Coroutine, Loop, Task, Wait
@@ -115,7 +115,7 @@
         try:
             upstream.stream = connection.request(headers, upstream)
             self._metrics.sends += 1
-        except Broken:
+        except ConnectionFailed:
             attempt.written = False
             self._let_go(attempt)
             self.ended(attempt, Outcome.MOOT, None)
@@ -192,7 +192,7 @@
         try:
             member = self._discovery.member(instance)
             if member is None:
-                raise Broken("not in the discovery client")
+                raise ConnectionFailed("not in the discovery client")
             sock = yield from dial(self._loop, member.address, limit)
             tls = None
             if self.context is not None:
@@ -206,18 +206,18 @@
             connection.start()
             while not connection.ready and not connection.closed:
                 if self._loop.now() >= limit:
-                    raise Broken("no settings in time")
+                    raise ConnectionFailed("no settings in time")
                 yield Wait(until=limit)
             if connection.closed:
-                raise Broken("it ended before its settings came")
-        except (Broken, Crowded, Late) as exc:
+                raise ConnectionFailed("it ended before its settings came")
+        except (ConnectionFailed, ConnectionLimitReached, DeadlineExceeded) as exc:
             logger.bind(event="instance.unreachable", instance=instance.decode()).warning(
                 "instance {}: could not connect: {}", instance.decode(), exc or "not up in time"
             )
             if connection is not None:
                 connection.close("no use")
             # Guards the instance: descriptors that ran out here are no fault of its.
-            crowded = isinstance(exc, Crowded)
+            crowded = isinstance(exc, ConnectionLimitReached)
             site.doubted = not crowded
             waiting, site.waiting = list(site.waiting), {}
             for attempt in waiting:
--- a/pulleyroute/lab/fleet/rig.py
+++ b/pulleyroute/lab/fleet/rig.py
@@ -41,7 +41,13 @@
     Schedule,
 )
 from pulleyroute.net.buffers import BufferPool
-from pulleyroute.net.http import Broken, Crowded, Late, Malformed, connect
+from pulleyroute.net.http import (
+    ConnectionFailed,
+    ConnectionLimitReached,
+    DeadlineExceeded,
+    Malformed,
+    connect,
+)
 from pulleyroute.net.loop import Coroutine, Loop, Wait
 from pulleyroute.net.process import all_descriptors
 
@@ -333,10 +339,10 @@
             try:
                 stream = yield from connect(self.loop, self._pool, place, until)
                 ready = (yield from exchange(stream, b"GET", b"/-/ready", until)).status == 200
-            except Broken:
+            except ConnectionFailed:
                 # Refused: nobody listens. A connection that broke later says nothing of readiness.
                 ready = False if stream is None else None
-            except (Crowded, Late, Malformed):
+            except (ConnectionLimitReached, DeadlineExceeded, Malformed):
                 pass
             if ready is not None:
                 looks.append(Look(asked, self.loop.now(), ready))
@@ -375,7 +381,7 @@
             sent = True
             answer = yield from stream.response(until)
             ending = {200: "served", 429: "refused", 503: "refused"}.get(answer.status, "failed")
-        except (Broken, Crowded, Late, Malformed):
+        except (ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, Malformed):
             # A connection that ends with nothing read of it is not a job taken: the client comes again.
             ending = "lost" if sent and self.loop.now() - at > LOOK else "turned"
         finally:
@@ -515,7 +521,7 @@
     def tell_store(self, faults: dict[str, Any]) -> Coroutine[None]:
         """What the store is to do wrong from now on."""
         until = self.loop.now() + 2 * SECOND
-        with contextlib.suppress(Broken, Crowded, Late, Malformed):
+        with contextlib.suppress(ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, Malformed):
             stream = yield from connect(self.loop, self._pool, (self.host, self._store_port), until)
             yield from exchange(stream, b"POST", b"/faults", until, json.dumps(faults).encode())
 
--- a/pulleyroute/net/discovery.py
+++ b/pulleyroute/net/discovery.py
@@ -21,7 +21,14 @@
 from pulleyroute.net import log
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.call_pacing import CONNECT_TIME, SILENCE, CallPacing
-from pulleyroute.net.http import Broken, Crowded, Late, Malformed, Stream, connect
+from pulleyroute.net.http import (
+    ConnectionFailed,
+    ConnectionLimitReached,
+    DeadlineExceeded,
+    Malformed,
+    Stream,
+    connect,
+)
 from pulleyroute.net.instance_list import InstanceList, Member
 from pulleyroute.net.json_lines import LINE_LIMIT, JsonLineSplitter
 from pulleyroute.net.list_freshness import ListFreshness
@@ -32,7 +39,14 @@
 MOVE_PAUSE = 500_000  # the longest pause between two of them
 BACK_TIME = 6_000_000  # lists older than the one held are passed over for so long, then held to be the truth
 
-_FAILURES = (Broken, Crowded, Late, Malformed, ValueError, RecursionError)
+_FAILURES = (
+    ConnectionFailed,
+    ConnectionLimitReached,
+    DeadlineExceeded,
+    Malformed,
+    ValueError,
+    RecursionError,
+)
 
 
 class DiscoveryClient:
@@ -170,10 +184,10 @@
         try:
             answer = yield from stream.response(self._loop.now() + self._pacing.answer_time, LINE_LIMIT)
             if answer.status != 200:
-                raise Broken(f"status {answer.status}")
+                raise ConnectionFailed(f"status {answer.status}")
             if asked != self._discovery:
                 # An old address's list and version mean nothing at the new one.
-                raise Broken("discovery has moved")
+                raise ConnectionFailed("discovery has moved")
             return self.list.take(json.loads(answer.body), cached=False)
         finally:
             stream.close()
@@ -210,7 +224,7 @@
                     logger.info("discovery: {}:{} failed: {}", *self._discovery, why)
                     yield Wait(until=self._loop.now() + int(self._random.random() * MOVE_PAUSE))
                     continue
-                yield from self._wait_before_reconnect(called, isinstance(exc, Late), why)
+                yield from self._wait_before_reconnect(called, isinstance(exc, DeadlineExceeded), why)
 
     def _wait_before_reconnect(self, called: int, late: bool, why: str) -> Coroutine[None]:
         """The call that began then has failed, or its watch has ended: the pause before the next one."""
@@ -231,7 +245,7 @@
         try:
             answer = yield from stream.answer_head(self._loop.now() + self._pacing.answer_time)
             if answer.status != 200:
-                raise Broken(f"status {answer.status}")
+                raise ConnectionFailed(f"status {answer.status}")
             logger.bind(event="discovery.watching").info(
                 "discovery: watching {}:{} from version {}", *self._discovery, self.version
             )
@@ -243,7 +257,7 @@
                 # that trickles, would else hold the watch for ever.
                 event = yield from stream.event(heard + SILENCE)
                 if not isinstance(event, h11.Data):
-                    raise Broken("the watch ended")
+                    raise ConnectionFailed("the watch ended")
                 for line in splitter.feed(bytes(event.data)):
                     heard = self._loop.now()
                     self._read_line(line)
@@ -292,5 +306,5 @@
             )
         elif self._loop.now() - self._back_since >= BACK_TIME:
             self._moved = True
-            raise Broken("versions have begun anew")
+            raise ConnectionFailed("versions have begun anew")
         return True
--- a/pulleyroute/net/downstream.py
+++ b/pulleyroute/net/downstream.py
@@ -17,7 +17,7 @@
 from pulleyroute.interface import Settings, WorkerId
 from pulleyroute.net.buffers import BufferPool, Ledger
 from pulleyroute.net.host import Host
-from pulleyroute.net.http import Broken, Headers, Late, Malformed, Message, Stream
+from pulleyroute.net.http import ConnectionFailed, DeadlineExceeded, Headers, Malformed, Message, Stream
 from pulleyroute.net.instance import read_report
 from pulleyroute.net.job_transfer import movable
 from pulleyroute.net.lifecycle import Lifecycle
@@ -323,7 +323,7 @@
                     advice = [retry_after(FULL_RETRY_AFTER)] if exc.status == 503 else None
                     yield from self._tell(stream, exc.status, str(exc).encode(), advice, close=True)
                     going = False
-                except Late:
+                except DeadlineExceeded:
                     yield from self._tell(stream, 408, b"the request did not come in time", close=True)
                     going = False
                 connection.working = True
@@ -333,7 +333,7 @@
                     yield Wait()
             self._stand(connection, self._lingering)
             yield from stream.linger()
-        except (Broken, Late):
+        except (ConnectionFailed, DeadlineExceeded):
             return
         finally:
             self._stand(connection, None)
@@ -343,7 +343,10 @@
                 self._loop.call_at(self._loop.now(), self._leave)
 
     def _first_byte(self, connection: Connection) -> Coroutine[bool]:
-        """Wait between two requests; False if the connection is to end. Late: a stranger said nothing."""
+        """Wait between two requests; False if the connection is to end.
+
+        Raises DeadlineExceeded where a stranger said nothing.
+        """
         stream = connection.stream
         if not stream.fresh:
             return True
@@ -361,7 +364,7 @@
                 if woken is not Woken.READY and stream.pull() is not None:
                     return True  # what came at the last moment is still served
                 if woken is Woken.LATE and not connection.known:
-                    raise Late
+                    raise DeadlineExceeded
                 if (
                     woken is Woken.NUDGED
                     and not connection.known
@@ -473,7 +476,7 @@
                 # Guards against a client that sends on and on: what it sends then is dropped, bit by bit. And
                 # against one that sends much and goes: its end is heard though it stands behind all that.
                 if stream.gone() or (stream.pull() if early else stream.skip()) == 0:
-                    raise Broken("the client is gone")
+                    raise ConnectionFailed("the client is gone")
                 if not early:
                     skip_from = self._loop.now() + SKIP_PAUSE
         finally:
--- a/pulleyroute/net/http.py
+++ b/pulleyroute/net/http.py
@@ -30,15 +30,15 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-class Broken(Exception):
+class ConnectionFailed(Exception):
     """The connection ended or broke."""
 
 
-class Crowded(Exception):
+class ConnectionLimitReached(Exception):
     """There is no descriptor for another connection; nothing was sent."""
 
 
-class Late(Exception):
+class DeadlineExceeded(Exception):
     """The time for it is over."""
 
 
@@ -108,7 +108,7 @@
             try:
                 self._h11.receive_data(bytes(memoryview(buffer)[:count]))
             except RuntimeError:  # the end was read twice
-                raise Broken("read after the end") from None
+                raise ConnectionFailed("read after the end") from None
             return count
 
     def skip(self) -> int | None:
@@ -123,7 +123,7 @@
         except (BlockingIOError, InterruptedError):
             return None
         except OSError as exc:
-            raise Broken(str(exc)) from None
+            raise ConnectionFailed(str(exc)) from None
 
     def _claim(self, count: int) -> None:
         self._claimed += count
@@ -170,11 +170,11 @@
             except (BlockingIOError, InterruptedError):
                 pass
             except OSError as exc:
-                raise Broken(str(exc)) from None
+                raise ConnectionFailed(str(exc)) from None
             if not rest:
                 return
             if (yield Wait(self.fileno(), WRITABLE, until)) is Woken.LATE:
-                raise Late
+                raise DeadlineExceeded
 
     def frame(self, head: h11.Request | h11.Response, body: bytes) -> bytes:
         """The bytes of a whole message."""
@@ -201,7 +201,7 @@
                 head = self._h11.send(h11.InformationalResponse(status_code=100, headers=[]))
                 yield from self.send(head or b"", until)
             if self.pull() is None and (yield Wait(self.fileno(), READABLE, until)) is Woken.LATE:
-                raise Late
+                raise DeadlineExceeded
 
     def body(self, until: int | None, limit: int = BODY_LIMIT) -> Coroutine[bytes]:
         """The rest of a message whose head has come."""
@@ -217,7 +217,7 @@
             elif isinstance(event, h11.EndOfMessage):
                 return b"".join(parts)
             else:
-                raise Broken("the message was cut off")
+                raise ConnectionFailed("the message was cut off")
 
     # The server's side
 
@@ -294,7 +294,7 @@
                 seen += count or 0
                 if count is None and (yield Wait(self.fileno(), READABLE, until)) is Woken.LATE:
                     return
-        except (Broken, OSError):
+        except (ConnectionFailed, OSError):
             return
 
     # The client's side
@@ -306,7 +306,7 @@
             if isinstance(event, h11.Response):
                 return Message(list(event.headers), b"", status=event.status_code)
             if not isinstance(event, h11.InformationalResponse):
-                raise Broken("the connection ended before the answer")
+                raise ConnectionFailed("the connection ended before the answer")
 
     def response(
         self, until: int | None, limit: int = BODY_LIMIT, begun: Callable[[int], None] = lambda status: None
@@ -324,12 +324,15 @@
 
 
 def dial(loop: Loop, address: tuple[str, int], until: int) -> Coroutine[socket.socket]:
-    """A connected socket, without Nagle's delay; raises Crowded, Broken, or Late once `until` is over."""
+    """Return a connected socket without Nagle's delay.
+
+    Raises ConnectionLimitReached, ConnectionFailed, or DeadlineExceeded once `until` has passed.
+    """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
     except OSError as exc:
         # Guards against blaming a peer for what is this process's own want: it has run out of descriptors.
-        raise Crowded(str(exc)) from None
+        raise ConnectionLimitReached(str(exc)) from None
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         try:
@@ -337,10 +340,10 @@
         except BlockingIOError:
             while True:
                 if (yield Wait(sock.fileno(), WRITABLE, until)) is Woken.LATE:
-                    raise Late from None
+                    raise DeadlineExceeded from None
                 error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
                 if error:
-                    raise Broken(os.strerror(error)) from None
+                    raise ConnectionFailed(os.strerror(error)) from None
                 try:
                     sock.getpeername()
                     break
@@ -350,7 +353,7 @@
         loop.forget(sock.fileno())
         sock.close()
         if isinstance(exc, OSError):
-            raise Broken(str(exc)) from None
+            raise ConnectionFailed(str(exc)) from None
         raise
     return sock
 
--- a/pulleyroute/net/http2.py
+++ b/pulleyroute/net/http2.py
@@ -29,7 +29,7 @@
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.flood_limits import FloodLimits
 from pulleyroute.net.header_encoding import PlainEncoder
-from pulleyroute.net.http import Broken, Headers
+from pulleyroute.net.http import ConnectionFailed, Headers
 from pulleyroute.net.http2_frames import LARGEST_INCREMENT, Merger, TooLong, data_frame, frame_of
 from pulleyroute.net.loop import READABLE, WRITABLE, Coroutine, Loop, Task, Timer, Wait, Woken
 from pulleyroute.net.tls import Tls
@@ -325,9 +325,9 @@
         )
 
     def request(self, headers: Headers, owner: Owner, end: bool = False) -> Stream:
-        """Open a stream; raises Broken if the connection has no room for one."""
+        """Open a stream; raises ConnectionFailed if the connection has no room for one."""
         if not self.room:
-            raise Broken("no room for a stream")
+            raise ConnectionFailed("no room for a stream")
         try:
             stream = Stream(self, self._h2.get_next_available_stream_id(), owner)
             # h2 forgets closed streams when it counts the open ones, and only then: guards the memory, where
@@ -336,7 +336,7 @@
             self._h2._get_or_create_stream(stream.id, _ODD)
             self._send_head(stream.id, headers, end)
         except h2.exceptions.H2Error as exc:
-            raise Broken(str(exc)) from None
+            raise ConnectionFailed(str(exc)) from None
         self._streams[stream.id] = stream
         stream.ended_here = end
         self._stir()
@@ -439,7 +439,7 @@
         if self.closed:
             return
         self._goaway(self._highest if self._server else 0, code, why.encode() if code else b"")
-        with contextlib.suppress(OSError, Broken):
+        with contextlib.suppress(OSError, ConnectionFailed):
             self._pump()  # endings that are framed but not yet written go first
             self._write()
         self._end(why)
@@ -490,9 +490,9 @@
                 if self.closed:
                     return
                 if not self.ready and now - self._began >= HANDSHAKE_TIME:
-                    raise Broken("no settings in time")
+                    raise ConnectionFailed("no settings in time")
                 if self._outbox and self._stuck_since and now - self._stuck_since >= STUCK_TIME:
-                    raise Broken("the peer takes nothing")
+                    raise ConnectionFailed("the peer takes nothing")
                 if (
                     not self._streams
                     and not self._outbox
@@ -514,9 +514,9 @@
             self.close(why, Code.ENHANCE_YOUR_CALM)
         except h2.exceptions.ProtocolError as exc:
             why = f"not HTTP/2 as agreed: {exc}"
-            with contextlib.suppress(OSError, Broken):
+            with contextlib.suppress(OSError, ConnectionFailed):
                 self._write()  # h2 has made the GOAWAY that says so
-        except (Broken, OSError) as exc:
+        except (ConnectionFailed, OSError) as exc:
             why = str(exc)
         finally:
             self._inside = True
@@ -556,7 +556,7 @@
         if self._server or not self.limits.ping_after or not self._streams:
             self._pinged = 0
         elif self._pinged and now - self._pinged > self.limits.ping_patience:
-            raise Broken("no answer to a ping")
+            raise ConnectionFailed("no answer to a ping")
         elif not self._pinged and now - self._heard > self.limits.ping_after:
             self._pinged = now
             self._h2.ping(b"pulleyrt")
@@ -574,7 +574,7 @@
                 except (BlockingIOError, InterruptedError):
                     return
                 if not count:
-                    raise Broken("the connection ended")
+                    raise ConnectionFailed("the connection ended")
                 data = bytes(memoryview(buffer)[:count])
             self._heard, self._pinged = self._loop.now(), 0
             if self._tls is not None:
--- a/pulleyroute/net/instance.py
+++ b/pulleyroute/net/instance.py
@@ -17,7 +17,16 @@
 from pulleyroute.net.backoff import Backoff
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.discovery import DiscoveryClient
-from pulleyroute.net.http import Broken, Crowded, Headers, Late, Malformed, Message, Stream, connect
+from pulleyroute.net.http import (
+    ConnectionFailed,
+    ConnectionLimitReached,
+    DeadlineExceeded,
+    Headers,
+    Malformed,
+    Message,
+    Stream,
+    connect,
+)
 from pulleyroute.net.loop import Coroutine, Loop, Task, Timer, Wait
 from pulleyroute.net.metrics import Metrics
 
@@ -183,11 +192,11 @@
         """A new connection."""
         member = self._discovery.member(instance)
         if member is None:
-            raise Broken("not in the discovery client")
+            raise ConnectionFailed("not in the discovery client")
         if self._count >= self._most:
             self._drop_oldest()
         if self._count >= self._most:
-            raise Crowded("the budget of connections is used up")
+            raise ConnectionLimitReached("the budget of connections is used up")
         self._count += 1
         try:
             limit = self._settings.connect_timeout or CONNECT_TIME
@@ -281,10 +290,10 @@
                     stream, attempt.instance, attempt.method, attempt.target, headers, attempt.body
                 )
                 yield from stream.send(data, attempt.timeout_at)
-            except Crowded:
+            except ConnectionLimitReached:
                 self.ended(attempt, Outcome.MOOT, None)
                 return
-            except (Broken, Late) as exc:  # the last byte was not written: it never ran
+            except (ConnectionFailed, DeadlineExceeded) as exc:  # the last byte was not written: it never ran
                 logger.bind(event="instance.unreachable", instance=attempt.instance.decode()).warning(
                     "instance {}: could not connect: {}", attempt.instance.decode(), exc
                 )
@@ -299,7 +308,7 @@
                 answer = yield from stream.response(
                     attempt.timeout_at + ANSWER_GRACE, begun=lambda status: self._begun(attempt, status)
                 )
-            except (Broken, Late, Malformed) as exc:
+            except (ConnectionFailed, DeadlineExceeded, Malformed) as exc:
                 if attempt.accepted:
                     # Guards against a second copy: with the head of its 202 the instance has taken the job,
                     # and calls back, however the rest of that answer ends.
@@ -308,7 +317,7 @@
                     logger.bind(event="instance.reset", instance=attempt.instance.decode()).warning(
                         "instance {}: reset: {}", attempt.instance.decode(), exc
                     )
-                if attempt.kept and not isinstance(exc, Late):
+                if attempt.kept and not isinstance(exc, DeadlineExceeded):
                     self._broke(attempt.instance)
                 self.ended(attempt, Outcome.RESET, None)
                 return
@@ -393,11 +402,11 @@
             self._keep(instance, stream, incarnation)
             stream = None
             return Outcome.OK, answer
-        except Crowded:
+        except ConnectionLimitReached:
             return Outcome.MOOT, None
-        except Late:
+        except DeadlineExceeded:
             return Outcome.TIMEOUT if written else Outcome.CONNECT_FAILED, None
-        except (Broken, Malformed):
+        except (ConnectionFailed, Malformed):
             return Outcome.RESET if written else Outcome.CONNECT_FAILED, None
         finally:
             if stream is not None:
--- a/pulleyroute/net/json_lines.py
+++ b/pulleyroute/net/json_lines.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterator
 
-from pulleyroute.net.http import Broken
+from pulleyroute.net.http import ConnectionFailed
 
 LINE_LIMIT = 4 * 1024 * 1024  # bytes of an object: 1,024 entries of 4 KiB; what is held grows with what comes
 
@@ -21,7 +21,7 @@
         self._depth = 0
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The objects and empty lines that are whole now; raises Broken where one is too long."""
+        """The objects and empty lines that are whole now; raises ConnectionFailed where one is too long."""
         self._rest += data  # in place: a long line would else be copied with each part of it
         lines: list[bytes] = []
         if b"\n" in data:
@@ -33,7 +33,7 @@
             if self._depth <= 0 or len(self._held) > LINE_LIMIT:
                 yield self._take()
         if len(self._rest) + len(self._held) > LINE_LIMIT:
-            raise Broken("an object is too long")
+            raise ConnectionFailed("an object is too long")
 
     def _take(self) -> bytes:
         whole = bytes(self._held).strip()
--- a/pulleyroute/net/management.py
+++ b/pulleyroute/net/management.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from pulleyroute.net.buffers import BufferPool
-from pulleyroute.net.http import Broken, Late, Malformed, Message, Stream
+from pulleyroute.net.http import ConnectionFailed, DeadlineExceeded, Malformed, Message, Stream
 from pulleyroute.net.lifecycle import TAKES_CLIENTS, Phase
 from pulleyroute.net.listener import Listener
 from pulleyroute.net.loop import Coroutine, Loop, Task
@@ -74,14 +74,14 @@
                 status, body, headers = self._answer(message)
             except Malformed as exc:
                 status, body, headers = exc.status, f"{exc}\n".encode(), []
-            except Late:
+            except DeadlineExceeded:
                 status, body, headers = 408, b"the call did not come in time\n", []
             _, task = self._callers.pop(stream)
             kind = (b"Content-Type", b"text/plain; charset=utf-8")
             yield from stream.answer(status, body, [kind, *headers], True, self._loop.now() + ANSWER_TIME)
             self._lingering[stream] = task
             yield from stream.linger()
-        except (Broken, Late):
+        except (ConnectionFailed, DeadlineExceeded):
             return
         finally:
             self._callers.pop(stream, None)
--- a/pulleyroute/net/tls.py
+++ b/pulleyroute/net/tls.py
@@ -5,7 +5,7 @@
 import ssl
 from dataclasses import dataclass
 
-from pulleyroute.net.http import Broken
+from pulleyroute.net.http import ConnectionFailed
 
 ALPN = ["h2"]
 CHUNK = 64 * 1024
@@ -61,7 +61,10 @@
         self._advance()
 
     def receive(self, data: bytes) -> bytes:
-        """What the peer sent, decrypted as far as it goes; raises Broken if it is not TLS as agreed."""
+        """What the peer sent, decrypted as far as it goes.
+
+        Raises ConnectionFailed if it is not TLS as agreed.
+        """
         self._incoming.write(data)
         parts: list[bytes] = []
         try:
@@ -77,7 +80,7 @@
         except ssl.SSLZeroReturnError:
             pass  # the end of the connection itself follows
         except ssl.SSLError as exc:
-            raise Broken(f"TLS: {exc.reason or exc}") from None
+            raise ConnectionFailed(f"TLS: {exc.reason or exc}") from None
         return b"".join(parts)
 
     def send(self, data: bytes) -> None:
@@ -97,10 +100,10 @@
         except ssl.SSLWantReadError:
             return False
         except ssl.SSLError as exc:
-            raise Broken(f"TLS: {exc.reason or exc}") from None
+            raise ConnectionFailed(f"TLS: {exc.reason or exc}") from None
         if self._object.selected_alpn_protocol() != "h2":
             # Guards against a peer that speaks something else on the same port and would be misread.
-            raise Broken("TLS: the peer did not agree on h2")
+            raise ConnectionFailed("TLS: the peer did not agree on h2")
         self.ready = True
         for data in self._waiting:
             self._object.write(data)
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from pulleyroute.net.buffers import BufferPool
-from pulleyroute.net.http import Broken, Late, Malformed, Stream, connect, parse_address
+from pulleyroute.net.http import ConnectionFailed, DeadlineExceeded, Malformed, Stream, connect, parse_address
 from pulleyroute.net.log import Sink
 from pulleyroute.net.loop import Wait, Woken
 from tests.net.scene import SECOND, StillLoop
@@ -39,7 +39,7 @@
         try:
             message = yield from (stream.request if server else stream.response)(None)
             result.append(message)
-        except (Broken, Malformed) as exc:
+        except (ConnectionFailed, Malformed) as exc:
             result.append(exc)
 
     loop.spawn(reading(), "reading")
@@ -81,7 +81,7 @@
 def test_garbage_is_an_error_or_an_end_and_nothing_else(server, garbage, at):
     for data in (garbage, (REQUEST if server else RESPONSE)[:at] + garbage):
         (result,) = parse(server, [data], end=True)
-        assert result is None or isinstance(result, Broken | Malformed) or result.body is not None
+        assert result is None or isinstance(result, ConnectionFailed | Malformed) or result.body is not None
 
 
 def test_a_partial_write_waits_and_only_the_last_byte_ends_it():
@@ -115,7 +115,7 @@
     def trying(coroutine):
         try:
             yield from coroutine
-        except (Broken, Late) as exc:
+        except (ConnectionFailed, DeadlineExceeded) as exc:
             seen.append(type(exc))
 
     loop.spawn(trying(Stream(loop, BufferPool(), ours, True).send(b"x", None)), "send")
@@ -124,7 +124,7 @@
     nobody.close()
     loop.spawn(trying(connect(loop, BufferPool(), address, loop.now() + SECOND)), "connect")
     loop.until(lambda: len(seen) == 2)
-    assert seen == [Broken, Broken]
+    assert seen == [ConnectionFailed, ConnectionFailed]
 
 
 @pytest.mark.parametrize("text", ["", "1.2.3.4", "1.2.3.4:0", "1.2.3.4:70000", "host:80", ":80", "1.2.3.4:x"])
--- a/tests/net/test_list_age.py
+++ b/tests/net/test_list_age.py
@@ -11,7 +11,7 @@
 from pulleyroute.net import call_pacing
 from pulleyroute.net.call_pacing import CallPacing
 from pulleyroute.net.call_slots import CallSlots
-from pulleyroute.net.http import Broken
+from pulleyroute.net.http import ConnectionFailed
 from pulleyroute.net.json_lines import JsonLineSplitter
 from pulleyroute.settings import read_settings
 from tests.net.scene import INFO, MS, SECOND, Scene
@@ -169,7 +169,7 @@
     # Guards the memory against a discovery that floods: until a word has to be whole, much can come.
     splitter = JsonLineSplitter()
     assert not list(splitter.feed(b"{\n"))
-    with pytest.raises((Broken, ValueError)):
+    with pytest.raises((ConnectionFailed, ValueError)):
         for _ in range(4 * 1024):
             for word in splitter.feed(b"\n" * 1024):
                 json.loads(word)
--- a/tests/net/test_tls.py
+++ b/tests/net/test_tls.py
@@ -5,7 +5,7 @@
 import pytest
 
 from benchmarks.fixture import certificates
-from pulleyroute.net.http import Broken
+from pulleyroute.net.http import ConnectionFailed
 from pulleyroute.net.tls import Files, Tls, client_context, server_context
 
 
@@ -47,7 +47,7 @@
     shake(client, server)
     assert client.ready and server.ready
     client, server = pair(files, str(files.ca))
-    with pytest.raises(Broken):
+    with pytest.raises(ConnectionFailed):
         shake(client, server)
     assert not server.ready
 
@@ -56,19 +56,19 @@
     (tmp_path / "other").mkdir()
     other = certificates(tmp_path / "other")
     client, server = Tls(client_context(str(other.ca)), False, "127.0.0.1"), pair(files)[1]
-    with pytest.raises(Broken):
+    with pytest.raises(ConnectionFailed):
         shake(client, server)
     wrong, server = Tls(client_context(str(files.ca)), False, "elsewhere.example"), pair(files)[1]
-    with pytest.raises(Broken):
+    with pytest.raises(ConnectionFailed):
         shake(wrong, server)
 
 
 def test_a_peer_that_speaks_no_h2_or_no_tls_is_let_go(files):
     context = ssl.create_default_context(cafile=str(files.ca))
     context.set_alpn_protocols(["http/1.1"])
-    with pytest.raises(Broken, match="h2"):
+    with pytest.raises(ConnectionFailed, match="h2"):
         shake(Tls(context, False, "127.0.0.1"), pair(files)[1])
-    with pytest.raises(Broken):
+    with pytest.raises(ConnectionFailed):
         pair(files)[1].receive(b"GET / HTTP/1.1\r\n\r\n")
 
 
