--- a/benchmarks/capacity/hollow_traffic.py
+++ b/benchmarks/capacity/hollow_traffic.py
@@ -57,8 +57,8 @@
             self._count = traffic.of(sock.getpeername()[1])
             self._count.connections += 1
 
-        def pull(self) -> int | None:
-            count = super().pull()
+        def read_available(self) -> int | None:
+            count = super().read_available()
             self._count.received += count or 0
             return count
 
--- a/benchmarks/capacity/hollow_watches.py
+++ b/benchmarks/capacity/hollow_watches.py
@@ -56,7 +56,7 @@
                 headers=[(b"Host", b"store"), (b"Content-Length", b"%d" % len(body))],
             )
             yield from stream.send(stream.frame(head, body), None)
-            while (count := stream.skip()) != 0:
+            while (count := stream.discard_available()) != 0:
                 self.received += count or 0
                 if count is None:
                     yield Wait(stream.fileno(), READABLE)
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -64,7 +64,7 @@
                     yield from stream.answer(200, load.encode(), [], False, None)
                 elif message.method == b"POST":
                     yield from stream.answer(202, b"", [], False, None)
-                    txn = (message.one(b"x-txn") or b"").decode()
+                    txn = (message.single_header(b"x-txn") or b"").decode()
                     self.loop.spawn(self.job(name, txn, message.body), f"job {txn}")
                 else:
                     yield from stream.answer(404, b"", [], False, None)
--- a/pulleyroute/emulator/runner.py
+++ b/pulleyroute/emulator/runner.py
@@ -104,7 +104,7 @@
         try:
             while (message := (yield from stream.request(None))) is not None:
                 status, body, headers = self._answer(
-                    message.method, message.target.decode(), message.one(b"x-txn") or b"", callback
+                    message.method, message.target.decode(), message.single_header(b"x-txn") or b"", callback
                 )
                 if not (yield from stream.answer(status, body, headers, False, None)):
                     return
--- a/pulleyroute/fleet/store.py
+++ b/pulleyroute/fleet/store.py
@@ -208,7 +208,7 @@
         body = {"create_request": {"key": _text(key), "range_end": _text(end), "start_revision": str(start)}}
         stream = yield from self._stream("/v3/watch", body, self._loop.now() + CALL_TIME)
         try:
-            answer = yield from stream.answer_head(self._loop.now() + CALL_TIME)
+            answer = yield from stream.response_head(self._loop.now() + CALL_TIME)
             if answer.status != 200:
                 raise ConnectionFailed(f"status {answer.status}")
             rest = b""
--- a/pulleyroute/net/discovery.py
+++ b/pulleyroute/net/discovery.py
@@ -243,7 +243,7 @@
         """Tell of changes until the watch breaks."""
         stream = yield from self._call(b"%s?watch=1&from=%d" % (PATH, self.version))
         try:
-            answer = yield from stream.answer_head(self._loop.now() + self._pacing.answer_time)
+            answer = yield from stream.response_head(self._loop.now() + self._pacing.answer_time)
             if answer.status != 200:
                 raise ConnectionFailed(f"status {answer.status}")
             logger.bind(event="discovery.watching").info(
--- a/pulleyroute/net/downstream.py
+++ b/pulleyroute/net/downstream.py
@@ -354,14 +354,14 @@
         until = self._loop.now() + IDLE_TIME if connection.known else connection.since + STRANGER_SILENCE
         try:
             while True:
-                count = stream.pull()
+                count = stream.read_available()
                 if count is not None:
                     return count > 0
                 if self._loop.now() >= self.lifecycle.idle_from:
                     # Guards the drain: one that connects now is given a moment, and not a stranger's time.
                     until = min(until, connection.since + LATE_SILENCE)
                 woken = yield Wait(stream.fileno(), READABLE, until)
-                if woken is not Woken.READY and stream.pull() is not None:
+                if woken is not Woken.READY and stream.read_available() is not None:
                     return True  # what came at the last moment is still served
                 if woken is Woken.LATE and not connection.known:
                     raise DeadlineExceeded
@@ -475,7 +475,7 @@
                     continue
                 # Guards against a client that sends on and on: what it sends then is dropped, bit by bit. And
                 # against one that sends much and goes: its end is heard though it stands behind all that.
-                if stream.gone() or (stream.pull() if early else stream.skip()) == 0:
+                if stream.gone() or (stream.read_available() if early else stream.discard_available()) == 0:
                     raise ConnectionFailed("the client is gone")
                 if not early:
                     skip_from = self._loop.now() + SKIP_PAUSE
@@ -507,12 +507,12 @@
 
 def read_request(message: Message, job_class: int) -> Request:
     """A client's request; raises ValueError or Malformed if it is not in form."""
-    txn, remaining = message.one(b"x-txn"), message.one(b"x-remaining-ms")
+    txn, remaining = message.single_header(b"x-txn"), message.single_header(b"x-remaining-ms")
     if txn is None or not _TXN.fullmatch(txn):
         raise ValueError("X-Txn is missing or not an id")
     if remaining is None or not _WHOLE.fullmatch(remaining):
         raise ValueError("X-Remaining-Ms is missing or not whole milliseconds")
-    labels = read_labels(message.one(b"x-labels") or b"")
+    labels = read_labels(message.single_header(b"x-labels") or b"")
     pairs = dict(parse_qsl(message.target.partition(b"?")[2].decode("latin-1"), keep_blank_values=True))
     return Request(
         txn=txn.decode(),
@@ -525,7 +525,7 @@
         slots=labels.get("slots", 1.0),
         memory=labels.get("memory", 0.0),
         key=read_key(pairs.get("k", "")),
-        is_repeat=message.one(b"x-resent") == b"1",
+        is_repeat=message.single_header(b"x-resent") == b"1",
         hint=read_estimate(message),
     )
 
--- a/pulleyroute/net/http.py
+++ b/pulleyroute/net/http.py
@@ -60,7 +60,7 @@
     target: bytes = b""
     status: int = 0
 
-    def one(self, name: bytes) -> bytes | None:
+    def single_header(self, name: bytes) -> bytes | None:
         """The value of a header that may come once at most."""
         values = [value for key, value in self.headers if key == name]
         if len(values) > 1:
@@ -96,7 +96,7 @@
             self._loop.forget(self._sock.fileno())
             self._sock.close()
 
-    def pull(self) -> int | None:
+    def read_available(self) -> int | None:
         """Read what is there: the count of bytes, 0 at the end, None if nothing is there yet."""
         with self._pool.borrow() as buffer:
             count = self._receive(buffer)
@@ -111,8 +111,11 @@
                 raise ConnectionFailed("read after the end") from None
             return count
 
-    def skip(self) -> int | None:
-        """Read what is there and drop it, as `pull` reads it; nothing more can be made of the connection."""
+    def discard_available(self) -> int | None:
+        """Read and drop what has arrived; the result is that of `read_available`.
+
+        The position of the next message is lost: the connection can carry no further one.
+        """
         self.skipped = True
         with self._pool.borrow() as buffer:
             return self._receive(buffer)
@@ -200,7 +203,7 @@
             if self._h11.they_are_waiting_for_100_continue:
                 head = self._h11.send(h11.InformationalResponse(status_code=100, headers=[]))
                 yield from self.send(head or b"", until)
-            if self.pull() is None and (yield Wait(self.fileno(), READABLE, until)) is Woken.LATE:
+            if self.read_available() is None and (yield Wait(self.fileno(), READABLE, until)) is Woken.LATE:
                 raise DeadlineExceeded
 
     def body(self, until: int | None, limit: int = BODY_LIMIT) -> Coroutine[bytes]:
@@ -238,7 +241,7 @@
         size = len(event.target) + sum(len(name) + len(value) + 4 for name, value in event.headers)
         if size > HEAD_LIMIT:  # the parser limits only what is incomplete: how it is cut must not matter
             raise Malformed(431, "the head is too large")
-        length = message.one(b"content-length")
+        length = message.single_header(b"content-length")
         if length is not None and (len(length) > 9 or int(length) > limit):
             raise Malformed(413, "the body is too large")
         message.body = yield from self.body(until, limit)
@@ -288,7 +291,7 @@
         try:
             self._sock.shutdown(socket.SHUT_WR)
             while seen < LINGER_BYTES:
-                count = self.skip()
+                count = self.discard_available()
                 if count == 0:
                     return
                 seen += count or 0
@@ -299,7 +302,7 @@
 
     # The client's side
 
-    def answer_head(self, until: int | None) -> Coroutine[Message]:
+    def response_head(self, until: int | None) -> Coroutine[Message]:
         """The head of the answer to what was sent."""
         while True:
             event = yield from self.event(until)
@@ -315,7 +318,7 @@
 
         `begun` hears its status as soon as its head has come.
         """
-        message = yield from self.answer_head(until)
+        message = yield from self.response_head(until)
         begun(message.status)
         message.body = yield from self.body(until, limit)
         if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -66,7 +66,7 @@
 def test_a_request_is_the_same_however_it_is_cut(data, places):
     (message,) = parse(True, cut(data, places))
     assert (message.method, message.target, message.body) == (b"POST", b"/read?k=1", b"ab\r\nc")
-    assert message.one(b"x-txn") == b"t"
+    assert message.single_header(b"x-txn") == b"t"
 
 
 @FIXED
