--- a/benchmarks/capacity/reports.py
+++ b/benchmarks/capacity/reports.py
@@ -33,7 +33,7 @@
     names = [entry.worker for entry in listed]
 
     def read() -> list[api.LoadReport]:
-        return [cast(api.LoadReport, instances.report(name, TEXT)) for name in names]
+        return [cast(api.LoadReport, instances.parse_report(name, TEXT)) for name in names]
 
     began = time.process_time()
     reports = read()
--- a/pulleyroute/__main__.py
+++ b/pulleyroute/__main__.py
@@ -109,8 +109,8 @@
         if self.other is not None:
             theirs, held = self.other
             budget, programs = max(FEWEST, budget - theirs), 2
-        self.instances.allow(int(budget * INSTANCE_SHARE))
-        self.clients.allow(int(budget * CLIENT_SHARE), int(budget * JOB_SHARE))
+        self.instances.set_connection_limit(int(budget * INSTANCE_SHARE))
+        self.clients.set_limits(int(budget * CLIENT_SHARE), int(budget * JOB_SHARE))
         self.ledger.most = max(MEGABYTE, readable(self.config, programs) - held)
 
 
--- a/pulleyroute/grpc/back.py
+++ b/pulleyroute/grpc/back.py
@@ -19,7 +19,7 @@
 from pulleyroute.net.host import Host
 from pulleyroute.net.http import ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, Headers, dial
 from pulleyroute.net.http2 import Code, Http2, Limits
-from pulleyroute.net.instance import Attempt, Ended, Gate, Probed, Rejected
+from pulleyroute.net.instance import Attempt, AttemptEnded, BeginCheck, ProbeEnded, RequestRejected
 from pulleyroute.net.loop import Coroutine, Loop, Task, Wait
 from pulleyroute.net.metrics import Metrics
 from pulleyroute.net.tls import Tls
@@ -64,10 +64,10 @@
         self.context, self.server_name = context, server_name
         self._sites: dict[WorkerId, Site] = {}
         self._upstreams: dict[Attempt, Upstream] = {}
-        self.ended: Ended = lambda attempt, outcome, report: None
-        self.gate: Gate = lambda attempt: True
-        self.rejected: Rejected = lambda attempt: None
-        self.probed: Probed = lambda instance, outcome, took, report: None
+        self.ended: AttemptEnded = lambda attempt, outcome, report: None
+        self.gate: BeginCheck = lambda attempt: True
+        self.rejected: RequestRejected = lambda attempt: None
+        self.probed: ProbeEnded = lambda instance, outcome, took, report: None
         self._sweeping = False
         self.host: Host | None = None  # set once it is made
 
@@ -110,7 +110,8 @@
             left,
             call.head.attempts + attempt.index,
         )
-        attempt.kept = True  # a connection is many calls': its end says nothing of this one's instance
+        # a connection is many calls': its end says nothing of this one's instance
+        attempt.reused_connection = True
         attempt.written = True  # from its head on it may run
         try:
             upstream.stream = connection.request(headers, upstream)
--- a/pulleyroute/net/downstream.py
+++ b/pulleyroute/net/downstream.py
@@ -98,21 +98,22 @@
         self._ledger = ledger
         self._host = host
         self.adopt(settings)
-        self._most = most  # accepted connections
-        self._most_jobs = most_jobs  # requests at once; the rest is kept for the instances' calls
+        self._max_connections = most  # accepted connections
+        self._max_requests = most_jobs  # requests at once; the rest is kept for the instances' calls
         self._connections: set[Connection] = set()
         self._lingering: Line = OrderedDict()  # they have their last answer
         self._silent: Line = OrderedDict()  # strangers that have sent nothing
-        self._begun: Line = OrderedDict()  # strangers that have sent part of a request
+        self._partial: Line = OrderedDict()  # strangers that have sent part of a request
         self._idle: Line = OrderedDict()  # known ones between two requests
         self.listener = Listener(loop, "listener", self._room, self._shed, self._welcome)
         self.lifecycle = Lifecycle()
         self._metrics = metrics or Metrics()
         self._move: Move | None = None  # to another process, once it has taken over
         # A call-back for a job that is not here: whether it was heard by whoever has it, or nobody has.
-        self.elsewhere: Callable[[Call, bytes], Coroutine[bool]] | None = None
-        self.theirs: frozenset[str] = frozenset()  # ids that the process before this one still works on
-        self.left: Callable[[], None] = loop.stop  # once nothing is owed and no connection is left
+        self.forward_callback: Callable[[Call, bytes], Coroutine[bool]] | None = None
+        # Ids that the process before this one still works on.
+        self.predecessor_ids: frozenset[str] = frozenset()
+        self.on_drained: Callable[[], None] = loop.stop  # once nothing is owed and no connection is left
 
     def listen(self, address: tuple[str, int]) -> None:
         self.listener.listen(address)
@@ -137,9 +138,9 @@
         """Accepted connections."""
         return len(self._connections)
 
-    def allow(self, most: int, most_jobs: int) -> None:
+    def set_limits(self, most: int, most_jobs: int) -> None:
         """Other budgets from now on."""
-        self._most, self._most_jobs = most, most_jobs
+        self._max_connections, self._max_requests = most, most_jobs
 
     # Letting go
 
@@ -160,7 +161,7 @@
 
     # Another process of this dispatcher
 
-    def hand(self, move: Move) -> None:
+    def hand_over_clients(self, move: Move) -> None:
         """Another process takes the clients: accept no more, and move to it what is here."""
         if self.lifecycle.hand(self._loop.now()):
             self._move = move
@@ -204,7 +205,9 @@
         self._loop.call_at(self._loop.now() + MOVE_PAUSE, self._moving)
         self._leave()
 
-    def receive(self, sock: socket.socket, values: dict[str, Any], body: bytes, shift: int) -> None:
+    def take_over_connection(
+        self, sock: socket.socket, values: dict[str, Any], body: bytes, shift: int
+    ) -> None:
         """Go on with a connection that another process has moved here, and with its job where it has one."""
         sock.setblocking(False)
         stream = Stream(self._loop, self._pool, sock, server=True, ledger=self._ledger)
@@ -247,12 +250,12 @@
         """Stop the loop once nothing is owed any more."""
         if self.lifecycle.quiet(self._loop.now()) and not self._host.open and not self._connections:
             logger.bind(event="stopped").info("all is answered, leaving")
-            self.left()
+            self.on_drained()
 
     # Accepting
 
     def _room(self) -> bool:
-        return len(self._connections) < self._most or self._shed()
+        return len(self._connections) < self._max_connections or self._shed()
 
     def _shed(self) -> bool:
         """Make room for a new connection: strangers go first, the silent ones before the others.
@@ -260,9 +263,12 @@
         Guards usual clients and the instances' calls against hundreds that connect and say nothing.
         """
         grown = self._loop.now() - SHED_AGE
-        for line in (self._lingering, self._silent, self._begun, self._idle):
-            stranger = line is self._silent or line is self._begun
-            if line is self._idle and len(self._silent) + len(self._begun) > self._most * STRANGER_SHARE:
+        for line in (self._lingering, self._silent, self._partial, self._idle):
+            stranger = line is self._silent or line is self._partial
+            if (
+                line is self._idle
+                and len(self._silent) + len(self._partial) > self._max_connections * STRANGER_SHARE
+            ):
                 return False  # guards known clients: the young strangers can be shed in a moment
             for connection in islice(line, SHED_LOOKS):
                 if stranger and connection.since > grown:
@@ -309,7 +315,7 @@
                         until = self._loop.now() + REQUEST_TIME
                     else:
                         until = connection.since + STRANGER_TIME
-                        self._stand(connection, self._begun)
+                        self._stand(connection, self._partial)
                     if self._loop.now() >= self.lifecycle.cut_from:
                         until = min(until, self._loop.now() + LATE_SILENCE)
                     message = yield from stream.request(until)
@@ -411,9 +417,9 @@
             except ValueError as exc:
                 return (yield from self._tell(stream, 400, str(exc).encode()))
             connection.known = True
-            if self._host.knows(call.txn) or self.elsewhere is None:
+            if self._host.knows(call.txn) or self.forward_callback is None:
                 self._host.call(call)
-            elif not (yield from self.elsewhere(call, message.body)):
+            elif not (yield from self.forward_callback(call, message.body)):
                 # Guards the job: the other process has not said that it heard, so the instance has to say it
                 # again.
                 return (yield from self._tell(stream, 503, b"the holder of the job does not answer"))
@@ -427,11 +433,11 @@
             request = read_request(message, job_class)
         except (ValueError, Malformed) as exc:
             return (yield from self._tell(stream, 400, str(exc).encode()))
-        if self._host.knows(request.txn) or request.txn in self.theirs:
+        if self._host.knows(request.txn) or request.txn in self.predecessor_ids:
             return (yield from self._tell(stream, 409, b"a request of this id is being worked on"))
         connection.known = True
         name = self._settings.classes[job_class].name
-        if self._host.open >= self._most_jobs or self._host.held >= HELD * self._most_jobs:
+        if self._host.open >= self._max_requests or self._host.held >= HELD * self._max_requests:
             # Guards the descriptors that instances' calls need, without which no job would ever end, and the
             # memory that clients could fill who leave at once and come again.
             self._metrics.ended(name, Ended.DEFERRED)
--- a/pulleyroute/net/handover.py
+++ b/pulleyroute/net/handover.py
@@ -196,7 +196,7 @@
         self._whole = False  # the state has come, all of it
         self._numbers = itertools.count()
         self._asked: dict[int, bool | None] = {}  # call-backs on the way, and what was answered
-        clients.elsewhere = self.elsewhere
+        clients.forward_callback = self.elsewhere
 
     # The new process
 
@@ -253,10 +253,10 @@
                 state.append(values)
                 self._whole = values["last"]
             elif kind == "connection" and sock is not None:
-                self._clients.receive(sock, values, body, link.shift)
+                self._clients.take_over_connection(sock, values, body, link.shift)
             elif kind == "share":
                 self._budgets.share((values["descriptors"], values["bytes"]))
-                self._clients.theirs = frozenset(values["jobs"])
+                self._clients.predecessor_ids = frozenset(values["jobs"])
             else:
                 self._calls(link, kind, values, body)
 
@@ -290,7 +290,7 @@
 
     def _left_alone(self) -> None:
         self._before = None
-        self._clients.theirs = frozenset()
+        self._clients.predecessor_ids = frozenset()
         self._budgets.share(None)
 
     # The old process
@@ -373,7 +373,7 @@
         self._after = link
         link.gone = self._taken_back
         self._close_meeting_place()
-        self._clients.hand(lambda values, body, fd: link.send("connection", values, body, fd))
+        self._clients.hand_over_clients(lambda values, body, fd: link.send("connection", values, body, fd))
         self._loop.spawn(self._sharing(link), "hand-over shares")
 
     def _sharing(self, link: Link) -> Coroutine[None]:
--- a/pulleyroute/net/header_encoding.py
+++ b/pulleyroute/net/header_encoding.py
@@ -14,9 +14,9 @@
 import hpack.table
 from hpack import Encoder
 
-KEPT = 4096  # headers whose bytes are kept, for the whole process
-LONGEST = 200  # bytes of a value that is kept
-UNKEPT = frozenset((b"authorization", b"cookie", b"proxy-authorization", b"grpc-timeout"))
+MAX_CACHED_HEADERS = 4096  # headers whose bytes are kept, for the whole process
+MAX_CACHED_VALUE_BYTES = 200  # bytes of a value that is kept
+UNCACHED_NAMES = frozenset((b"authorization", b"cookie", b"proxy-authorization", b"grpc-timeout"))
 
 
 class _Silent:
@@ -28,24 +28,24 @@
 hpack.hpack.log = hpack.table.log = _Silent()  # type: ignore[assignment]
 
 
-class PlainEncoder(Encoder):
+class StatelessEncoder(Encoder):
     """Takes the place of h2's encoder. Names and values are bytes."""
 
-    _kept: ClassVar[dict[tuple[bytes, bytes], bytes]] = {}
+    _cache: ClassVar[dict[tuple[bytes, bytes], bytes]] = {}
 
     def encode(self, headers: Iterable[Any], huffman: bool = False) -> bytes:
         out: list[bytes] = []
         if self.header_table.resized:
             out.append(self._encode_table_size_change())
             self.header_table.resized = False
-        kept = self._kept
+        kept = self._cache
         for header in headers:
             key = (header[0], header[1])
             block = kept.get(key)
             if block is None:
                 block = self.add(key, True)
-                if len(key[1]) <= LONGEST and key[0] not in UNKEPT:
-                    if len(kept) >= KEPT:
+                if len(key[1]) <= MAX_CACHED_VALUE_BYTES and key[0] not in UNCACHED_NAMES:
+                    if len(kept) >= MAX_CACHED_HEADERS:
                         kept.clear()
                     kept[key] = block
             out.append(block)
--- a/pulleyroute/net/host.py
+++ b/pulleyroute/net/host.py
@@ -559,7 +559,7 @@
                 took,
                 report,
                 # Once accepted it no longer hangs on its connection.
-                attempt.kept and not attempt.accepted,
+                attempt.reused_connection and not attempt.accepted,
             )
         )
         self._forget(job)
--- a/pulleyroute/net/http2.py
+++ b/pulleyroute/net/http2.py
@@ -28,7 +28,7 @@
 
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.flood_limits import FloodLimits
-from pulleyroute.net.header_encoding import PlainEncoder
+from pulleyroute.net.header_encoding import StatelessEncoder
 from pulleyroute.net.http import ConnectionFailed, Headers
 from pulleyroute.net.http2_frames import LARGEST_INCREMENT, Merger, TooLong, data_frame, frame_of
 from pulleyroute.net.loop import READABLE, WRITABLE, Coroutine, Loop, Task, Timer, Wait, Woken
@@ -87,7 +87,7 @@
 
     def __init__(self, config: h2.config.H2Configuration) -> None:
         super().__init__(config=config)
-        self.encoder = PlainEncoder()
+        self.encoder = StatelessEncoder()
         self._looks = 0
 
     def _receive_frame(self, frame: Frame) -> list[h2.events.Event]:
--- a/pulleyroute/net/instance.py
+++ b/pulleyroute/net/instance.py
@@ -77,31 +77,31 @@
     call: object = None  # what a front that streams has bound to the request
     incarnation: int = 0  # of the instance that the decisions chose
     written: bool = field(default=False, init=False)  # the last byte is with the kernel
-    kept: bool = field(default=False, init=False)  # sent on a connection kept from before
+    reused_connection: bool = field(default=False, init=False)  # sent on a connection kept from before
     accepted: bool = field(default=False, init=False)  # the instance answered 202
     nacked: bool = field(default=False, init=False)  # the instance answered with a marked nack
     task: Task | None = field(default=None, init=False)
 
 
-class Ended(Protocol):
+class AttemptEnded(Protocol):
     """An attempt's outcome."""
 
     def __call__(self, attempt: Attempt, outcome: Outcome, report: LoadReport | None, /) -> None: ...
 
 
-class Gate(Protocol):
+class BeginCheck(Protocol):
     """Whether an attempt may begin now; what may not is settled by whoever says so."""
 
     def __call__(self, attempt: Attempt, /) -> bool: ...
 
 
-class Rejected(Protocol):
+class RequestRejected(Protocol):
     """An instance can't use the request."""
 
     def __call__(self, attempt: Attempt, /) -> None: ...
 
 
-class Probed(Protocol):
+class ProbeEnded(Protocol):
     """A probe's outcome, and how many microseconds it took."""
 
     def __call__(
@@ -136,16 +136,16 @@
         self._discovery = discovery
         self._random = Random(seed)
         self.adopt(settings)
-        self._most = most  # connections at once
+        self._max_connections = most  # connections at once
         self._metrics = metrics or Metrics()
         self._count = 0
         self._idle: dict[WorkerId, list[Kept]] = {}
         self._sweeping = False
         self._distrust_until = 0  # a kept connection broke under a request not long ago
-        self.ended: Ended = lambda attempt, outcome, report: None
-        self.gate: Gate = lambda attempt: True
-        self.rejected: Rejected = lambda attempt: None
-        self.probed: Probed = lambda instance, outcome, took, report: None
+        self.ended: AttemptEnded = lambda attempt, outcome, report: None
+        self.gate: BeginCheck = lambda attempt: True
+        self.rejected: RequestRejected = lambda attempt: None
+        self.probed: ProbeEnded = lambda instance, outcome, took, report: None
 
     @property
     def count(self) -> int:
@@ -157,9 +157,9 @@
         self._settings = settings
         self._idle_time = int(settings.keepalive * IDLE_SHARE) or 2_000_000
 
-    def allow(self, most: int) -> None:
+    def set_connection_limit(self, most: int) -> None:
         """Another budget of connections from now on."""
-        self._most = most
+        self._max_connections = most
 
     # Connections
 
@@ -193,9 +193,9 @@
         member = self._discovery.member(instance)
         if member is None:
             raise ConnectionFailed("not in the discovery client")
-        if self._count >= self._most:
+        if self._count >= self._max_connections:
             self._drop_oldest()
-        if self._count >= self._most:
+        if self._count >= self._max_connections:
             raise ConnectionLimitReached("the budget of connections is used up")
         self._count += 1
         try:
@@ -273,7 +273,7 @@
                     # Guards what can't be sent again: a kept connection may be gone and not show it, as where
                     # an instance closes idle ones early.
                     stream = self._kept(attempt.instance, 0 if attempt.repeatable else SILENT_FOR)
-                attempt.kept = stream is not None
+                attempt.reused_connection = stream is not None
                 if stream is None:
                     stream = yield from self._open(attempt.instance)
                 if not self.gate(attempt):  # what allowed it may have passed while the connection came up
@@ -297,7 +297,7 @@
                 logger.bind(event="instance.unreachable", instance=attempt.instance.decode()).warning(
                     "instance {}: could not connect: {}", attempt.instance.decode(), exc
                 )
-                if attempt.kept:
+                if attempt.reused_connection:
                     self._broke(attempt.instance)
                 self.ended(attempt, Outcome.CONNECT_FAILED, None)
                 return
@@ -317,7 +317,7 @@
                     logger.bind(event="instance.reset", instance=attempt.instance.decode()).warning(
                         "instance {}: reset: {}", attempt.instance.decode(), exc
                     )
-                if attempt.kept and not isinstance(exc, DeadlineExceeded):
+                if attempt.reused_connection and not isinstance(exc, DeadlineExceeded):
                     self._broke(attempt.instance)
                 self.ended(attempt, Outcome.RESET, None)
                 return
@@ -339,7 +339,7 @@
         report = None
         if self._settings.report_source is ReportSource.ANSWERS:
             values = [value for name, value in answer.headers if name == b"x-pressure"]
-            report = self.report(attempt.instance, values[0]) if values else None
+            report = self.parse_report(attempt.instance, values[0]) if values else None
         if answer.status in (503, 504) and marked:
             attempt.nacked = True
             self.ended(attempt, Outcome.FULL, report)
@@ -427,12 +427,12 @@
             return  # it was not sent: nothing is known, and the instance is not to blame
         if answer is not None:
             if answer.status == 200:
-                report = self.report(instance, answer.body) if wants_load else None
+                report = self.parse_report(instance, answer.body) if wants_load else None
             else:
                 outcome = Outcome.FULL if answer.status == 503 else Outcome.ERROR
         self.probed(instance, outcome, self._loop.now() - sent, report)
 
-    def report(self, instance: WorkerId, data: bytes) -> LoadReport | None:
+    def parse_report(self, instance: WorkerId, data: bytes) -> LoadReport | None:
         """A load report, as `name=value,...` or as a JSON object; a spoilt one is one line in the log."""
         values: dict[str, object] = {}
         try:
--- a/pulleyroute/net/listener.py
+++ b/pulleyroute/net/listener.py
@@ -63,7 +63,7 @@
     def resume(self) -> None:
         """Accept again."""
         if self.task is None and self.sock is not None:
-            self.task = self._loop.spawn(self.accepting(self.sock), self._name)
+            self.task = self._loop.spawn(self.accept_connections(self.sock), self._name)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -77,15 +77,15 @@
         if self.sock is not None:
             self.sock.close()
 
-    def accepting(self, listener: socket.socket) -> Coroutine[None]:
+    def accept_connections(self, listener: socket.socket) -> Coroutine[None]:
         waiting: list[socket.socket] = []  # accepted, and waiting for room: one at most
         try:
-            yield from self._accepting(listener, waiting)
+            yield from self._accept_loop(listener, waiting)
         finally:
             for sock in waiting:  # guards who has connected already against the end of the accepting
                 self._greet(sock)
 
-    def _accepting(self, listener: socket.socket, waiting: list[socket.socket]) -> Coroutine[None]:
+    def _accept_loop(self, listener: socket.socket, waiting: list[socket.socket]) -> Coroutine[None]:
         while True:
             for _ in range(ACCEPTS_A_TURN):
                 try:
--- a/pulleyroute/net/requests.py
+++ b/pulleyroute/net/requests.py
@@ -13,7 +13,7 @@
 from pulleyroute import interface as api
 from pulleyroute.interface import JobClass, WorkerId
 from pulleyroute.net.http import Headers
-from pulleyroute.net.instance import Attempt, Ended, Gate, Probed, Rejected
+from pulleyroute.net.instance import Attempt, AttemptEnded, BeginCheck, ProbeEnded, RequestRejected
 from pulleyroute.net.loop import Timer
 
 
@@ -103,10 +103,10 @@
 class Back(Protocol):
     """The instances' side of one protocol. `Host` sets the four callbacks before it posts anything."""
 
-    ended: Ended
-    gate: Gate
-    rejected: Rejected
-    probed: Probed
+    ended: AttemptEnded
+    gate: BeginCheck
+    rejected: RequestRejected
+    probed: ProbeEnded
 
     def attempt(self, attempt: Attempt) -> None: ...
     def give_up(self, attempt: Attempt, given: Callable[[], None]) -> None: ...
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -364,7 +364,7 @@
             min(limits.calls, int(self._budget * JOB_SHARE)),
             self.metrics,
         )
-        each.left = lambda: self._left.add(name)
+        each.on_drained = lambda: self._left.add(name)
         each.listen(listener.address)
         if self.phase is Phase.STANDBY:
             each.standby()
@@ -377,7 +377,7 @@
             self._leaving.append(front)
         jobs = self.clients.pop(name, None)
         if jobs is not None:
-            jobs.left = jobs.listener.close
+            jobs.on_drained = jobs.listener.close
             jobs.stop()
 
     def _clear(self) -> None:
--- a/tests/net/scene.py
+++ b/tests/net/scene.py
@@ -203,7 +203,7 @@
             connection.task.cancel()
         self.loop.settle()
         assert not self.clients._connections and not self.ledger.held and not self.host.open
-        lines = (self.clients._idle, self.clients._silent, self.clients._begun, self.clients._lingering)
+        lines = (self.clients._idle, self.clients._silent, self.clients._partial, self.clients._lingering)
         assert not any(lines)
 
     def serve(self) -> None:
--- a/tests/net/test_downstream.py
+++ b/tests/net/test_downstream.py
@@ -229,7 +229,7 @@
             return listener.accept()
 
     scene.clients.listener.task.cancel()
-    scene.loop.spawn(scene.clients.listener.accepting(Poor()), "listener")
+    scene.loop.spawn(scene.clients.listener.accept_connections(Poor()), "listener")
     client = scene.ask()
     scene.loop.settle()
     assert len(calls) == 1  # it does not spin
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -169,7 +169,7 @@
     # Guards the rule on repeats against a client that sends another's id while its job cannot move yet.
     client, instance, peer = open_job(old, "/charge", "t1", accept=False)
     new = old.next()
-    passing(old, lambda: new.clients.theirs)
+    passing(old, lambda: new.clients.predecessor_ids)
     assert b" 409 " in new.ask("/charge", "t1").message()[0]
     peer.send(TAKEN)
     passing(old, lambda: new.host.knows("t1"))
@@ -181,7 +181,7 @@
 def test_a_job_that_is_there_twice_has_one_attempt_and_each_client_an_answer(old):
     client, instance, _ = open_job(old, "/charge", "t1")
     new = old.next(listens=False)
-    receive = Downstream.receive
+    receive = Downstream.take_over_connection
 
     def late(clients, *more):  # somebody takes the id at the last moment
         other.append(new.ask("/charge", "t1"))
@@ -190,7 +190,7 @@
 
     other = []
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Downstream, "receive", late)
+        patch.setattr(Downstream, "take_over_connection", late)
         new.serve()
         passing(old, lambda: other)
         assert b" 502 " in client.message()[0]
--- a/tests/net/test_http2_frames.py
+++ b/tests/net/test_http2_frames.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pulleyroute.net.header_encoding import KEPT, PlainEncoder
+from pulleyroute.net.header_encoding import MAX_CACHED_HEADERS, StatelessEncoder
 from pulleyroute.net.http2_frames import Merger, TooLong, data_frame, frame_of
 from pulleyroute.net.wakeup_pacing import CLOSE, ROW, WakeupPacing
 
@@ -123,13 +123,13 @@
 
 @given(st.lists(st.lists(st.tuples(NAMES, st.binary(max_size=300)), max_size=8), max_size=6))
 def test_a_head_without_the_dynamic_table_is_read_the_same_by_any_decoder(heads):
-    encoder, decoder = PlainEncoder(), Decoder()
+    encoder, decoder = StatelessEncoder(), Decoder()
     for head in heads:
         block = encoder.encode(head)
         assert [(bytes(n), bytes(v)) for n, v in decoder.decode(block, raw=True)] == head
-        assert PlainEncoder().encode(head) == block  # the same bytes on any connection
-    assert len(PlainEncoder._kept) <= KEPT
-    assert not any(name == b"authorization" for name, _ in PlainEncoder._kept)
+        assert StatelessEncoder().encode(head) == block  # the same bytes on any connection
+    assert len(StatelessEncoder._cache) <= MAX_CACHED_HEADERS
+    assert not any(name == b"authorization" for name, _ in StatelessEncoder._cache)
 
 
 def test_rests_come_only_in_a_row_of_close_wake_ups_for_stream_data_alone():
--- a/tests/net/test_instance.py
+++ b/tests/net/test_instance.py
@@ -120,7 +120,7 @@
 
 def test_the_budget_of_connections_is_kept_and_idle_ones_make_room():
     scene = Scene(instances=2)
-    scene.instances._most = 1
+    scene.instances._max_connections = 1
     open_at, seen = {}, []
     for n in range(4):
         txn = f"t{n}"
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -150,9 +150,13 @@
     # Failure: a floor that is meant for two processes gave one of few descriptors more than its limit.
     config = replace(running[0].config, sockets=64, management=("127.0.0.1", 0))
     parts = build(config, StillLoop())
-    before = parts.instances._most, parts.clients._most, parts.clients._most_jobs
+    before = parts.instances._max_connections, parts.clients._max_connections, parts.clients._max_requests
     parts.allow()
-    assert (parts.instances._most, parts.clients._most, parts.clients._most_jobs) == before
+    assert (
+        parts.instances._max_connections,
+        parts.clients._max_connections,
+        parts.clients._max_requests,
+    ) == before
 
 
 def paths(value, at=()):
