--- a/pulleyroute/net/http.py
+++ b/pulleyroute/net/http.py
@@ -17,10 +17,10 @@
 from pulleyroute.net.buffers import BufferPool, Ledger
 from pulleyroute.net.loop import READABLE, WRITABLE, Coroutine, Loop, Wait, Woken
 
-HEAD_LIMIT = 16 * 1024
-BODY_LIMIT = 64 * 1024
+HEAD_LIMIT_BYTES = 16 * 1024
+BODY_LIMIT_BYTES = 64 * 1024
 LINGER = 1_000_000  # how long a connection that ends on an error is read empty
-LINGER_BYTES = 4 * BODY_LIMIT
+LINGER_BYTES = 4 * BODY_LIMIT_BYTES
 
 # The header lines that say where a request's body ends.
 _FRAMING = re.compile(rb"^(?:content-length|transfer-encoding)[ \t]*:([^\r\n]*)", re.I | re.M)
@@ -77,7 +77,9 @@
         self._loop = loop
         self._pool = pool
         self._sock = sock
-        self._h11 = h11.Connection(h11.SERVER if server else h11.CLIENT, max_incomplete_event_size=HEAD_LIMIT)
+        self._h11 = h11.Connection(
+            h11.SERVER if server else h11.CLIENT, max_incomplete_event_size=HEAD_LIMIT_BYTES
+        )
         self.closed = False
         self.fresh = True  # not a byte of the next message has come
         self.skipped = False  # bytes have been dropped: where the next message begins is not known
@@ -206,7 +208,7 @@
             if self.read_available() is None and (yield Wait(self.fileno(), READABLE, until)) is Woken.LATE:
                 raise DeadlineExceeded
 
-    def body(self, until: int | None, limit: int = BODY_LIMIT) -> Coroutine[bytes]:
+    def body(self, until: int | None, limit: int = BODY_LIMIT_BYTES) -> Coroutine[bytes]:
         """The rest of a message whose head has come."""
         parts: list[bytes] = []
         size = 0
@@ -224,7 +226,7 @@
 
     # The server's side
 
-    def request(self, until: int | None, limit: int = BODY_LIMIT) -> Coroutine[Message | None]:
+    def request(self, until: int | None, limit: int = BODY_LIMIT_BYTES) -> Coroutine[Message | None]:
         """The next request; None if the client ended the connection between requests."""
         event = yield from self.event(until)
         if not isinstance(event, h11.Request):
@@ -239,7 +241,9 @@
         self._head_only = event.method == b"HEAD"
         message = Message(list(event.headers), b"", event.method, event.target)
         size = len(event.target) + sum(len(name) + len(value) + 4 for name, value in event.headers)
-        if size > HEAD_LIMIT:  # the parser limits only what is incomplete: how it is cut must not matter
+        if (
+            size > HEAD_LIMIT_BYTES
+        ):  # the parser limits only what is incomplete: how it is cut must not matter
             raise Malformed(431, "the head is too large")
         length = message.single_header(b"content-length")
         if length is not None and (len(length) > 9 or int(length) > limit):
@@ -312,7 +316,10 @@
                 raise ConnectionFailed("the connection ended before the answer")
 
     def response(
-        self, until: int | None, limit: int = BODY_LIMIT, begun: Callable[[int], None] = lambda status: None
+        self,
+        until: int | None,
+        limit: int = BODY_LIMIT_BYTES,
+        begun: Callable[[int], None] = lambda status: None,
     ) -> Coroutine[Message]:
         """The whole answer; then the connection is ready for another request, or `reusable` says no.
 
--- a/tests/net/test_sizes.py
+++ b/tests/net/test_sizes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pulleyroute.net.http import BODY_LIMIT
+from pulleyroute.net.http import BODY_LIMIT_BYTES
 from tests.net.scene import Scene
 from tests.net.test_discovery import CHUNKS, chunk
 from tests.net.test_handover import Process, old, passing
@@ -33,7 +33,8 @@
     send(
         scene,
         peer,
-        CHUNKS + b"".join(chunk(word[at : at + BODY_LIMIT]) for at in range(0, len(word), BODY_LIMIT)),
+        CHUNKS
+        + b"".join(chunk(word[at : at + BODY_LIMIT_BYTES]) for at in range(0, len(word), BODY_LIMIT_BYTES)),
     )
     scene.loop.until(lambda: scene.discovery.version == 2)
     assert scene.discovery.size == COUNT
