--- a/pulleyroute/net/downstream.py
+++ b/pulleyroute/net/downstream.py
@@ -183,10 +183,10 @@
         missed = 0
         for connection in list(self._connections):
             job, stream = connection.job, connection.stream
-            if job is not None and not stream.skipped and movable(job):
+            if job is not None and not stream.bytes_discarded and movable(job):
                 body = job.request.body
-                values = {"known": True, "job": self._host.pack(job), "pending": stream.pending()}
-            elif connection.line in (self._silent, self._idle) and stream.fresh:
+                values = {"known": True, "job": self._host.pack(job), "pending": stream.transfer_state()}
+            elif connection.line in (self._silent, self._idle) and stream.at_message_start:
                 job, body = None, b""
                 values = {"known": connection.known, "since": connection.since}
             else:
@@ -216,13 +216,13 @@
         first = None
         if "job" in values and self._host.knows(values["job"]["txn"]):
             # Guards the one attempt of an id: this one was asked for twice, here and there.
-            stream.resume(values["pending"], len(body))
+            stream.restore_transfer_state(values["pending"], len(body))
             first = self._tell(stream, 502, b"failed", close=True)
         elif "job" in values:
-            stream.resume(values["pending"], len(body))
+            stream.restore_transfer_state(values["pending"], len(body))
             connection.working = True
             connection.job = self._host.take_over(values["job"], body, self._replying(connection), shift)
-            connection.job.request.gone = stream.gone
+            connection.job.request.gone = stream.peer_closed
             first = self._awaiting(connection, connection.job)
         self._begin(connection, first)
 
@@ -241,7 +241,7 @@
         if now >= self.lifecycle.cut_from:
             reading = [c for c in self._connections if not c.working and c.line is not self._lingering]
             for connection in reading:
-                connection.stream.farewell(SHED)
+                connection.stream.send_best_effort(SHED)
                 if connection.task is not None:
                     connection.task.cancel()
         self._leave()
@@ -273,10 +273,10 @@
             for connection in islice(line, SHED_LOOKS):
                 if stranger and connection.since > grown:
                     break
-                if line is not self._lingering and connection.stream.unread():
+                if line is not self._lingering and connection.stream.has_unread_data():
                     continue  # its request has come and waits for its turn
                 if stranger:
-                    connection.stream.farewell(SHED)
+                    connection.stream.send_best_effort(SHED)
                 if connection.task is not None:
                     connection.task.cancel()
                 return True
@@ -333,7 +333,7 @@
                     yield from self._tell(stream, 408, b"the request did not come in time", close=True)
                     going = False
                 connection.working = True
-                if going and not stream.fresh and connection.task is not None:
+                if going and not stream.at_message_start and connection.task is not None:
                     # Guards all others against one that sends request after request: their turn comes first.
                     connection.task.nudge()
                     yield Wait()
@@ -354,7 +354,7 @@
         Raises DeadlineExceeded where a stranger said nothing.
         """
         stream = connection.stream
-        if not stream.fresh:
+        if not stream.at_message_start:
             return True
         self._stand(connection, self._idle if connection.known else self._silent)
         until = self._loop.now() + IDLE_TIME if connection.known else connection.since + STRANGER_SILENCE
@@ -454,7 +454,7 @@
     def _working(self, connection: Connection, request: Request) -> Coroutine[bool]:
         """Hand a request to the host and wait for its answer."""
         connection.answer = None
-        request.gone = connection.stream.gone
+        request.gone = connection.stream.peer_closed
         connection.job = self._host.submit(request, self._replying(connection))
         return (yield from self._awaiting(connection, connection.job))
 
@@ -472,7 +472,7 @@
         skip_from = 0
         try:
             while (answer := connection.answer) is None:
-                early = stream.trailing() <= EARLY_BYTES
+                early = stream.unparsed_bytes() <= EARLY_BYTES
                 if early or self._loop.now() >= skip_from:
                     woken = yield Wait(stream.fileno(), READABLE | ENDED)
                 else:
@@ -481,7 +481,10 @@
                     continue
                 # Guards against a client that sends on and on: what it sends then is dropped, bit by bit. And
                 # against one that sends much and goes: its end is heard though it stands behind all that.
-                if stream.gone() or (stream.read_available() if early else stream.discard_available()) == 0:
+                if (
+                    stream.peer_closed()
+                    or (stream.read_available() if early else stream.discard_available()) == 0
+                ):
                     raise ConnectionFailed("the client is gone")
                 if not early:
                     skip_from = self._loop.now() + SKIP_PAUSE
@@ -489,7 +492,7 @@
             connection.job = None
             self._host.abandon(job)  # changes nothing once it is answered, or held elsewhere
         status, body, headers = _FORMS[answer.ending](answer)
-        going = yield from self._tell(stream, status, body, headers, close=stream.skipped)
+        going = yield from self._tell(stream, status, body, headers, close=stream.bytes_discarded)
         # Guards the truth of the count: a job ends with the last byte of its answer, and not before.
         self._metrics.ended(job.cls.name, by_status(status))
         return going
--- a/pulleyroute/net/http.py
+++ b/pulleyroute/net/http.py
@@ -1,4 +1,7 @@
-"""HTTP/1.1 on a non-blocking socket: h11 parses and frames, coroutines wait. Both sides, with limits."""
+"""HTTP/1.1 over a non-blocking socket, as server and as client, with limits on sizes and times.
+
+h11 parses and frames the messages; coroutines of the event loop wait for the socket.
+"""
 
 from __future__ import annotations
 
@@ -19,31 +22,31 @@
 
 HEAD_LIMIT_BYTES = 16 * 1024
 BODY_LIMIT_BYTES = 64 * 1024
-LINGER = 1_000_000  # how long a connection that ends on an error is read empty
-LINGER_BYTES = 4 * BODY_LIMIT_BYTES
+LINGER_TIMEOUT_US = 1_000_000  # for reading what the peer still sends after the last response
+LINGER_LIMIT_BYTES = 4 * BODY_LIMIT_BYTES
 
-# The header lines that say where a request's body ends.
-_FRAMING = re.compile(rb"^(?:content-length|transfer-encoding)[ \t]*:([^\r\n]*)", re.I | re.M)
-_FOLDED = re.compile(rb"\n[ \t]")
+# The header lines that determine where the body of a request ends.
+_BODY_LENGTH_HEADER = re.compile(rb"^(?:content-length|transfer-encoding)[ \t]*:([^\r\n]*)", re.I | re.M)
+_FOLDED_LINE = re.compile(rb"\n[ \t]")
 _HEAD_END = re.compile(rb"\n\r?\n")
 
 Headers = list[tuple[bytes, bytes]]
 
 
 class ConnectionFailed(Exception):
-    """The connection ended or broke."""
+    """The connection could not be opened, was closed by the peer, or failed."""
 
 
 class ConnectionLimitReached(Exception):
-    """There is no descriptor for another connection; nothing was sent."""
+    """The limit of connections or of file descriptors is reached; nothing was sent."""
 
 
 class DeadlineExceeded(Exception):
-    """The time for it is over."""
+    """The operation did not complete before its deadline."""
 
 
 class Malformed(Exception):
-    """What the peer sent is not as it should be; `status` is what a server answers."""
+    """The peer sent an invalid message; `status` is the HTTP status with which a server answers it."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -52,7 +55,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """A whole request or answer; header names are in lower case."""
+    """A complete request or response; header names are in lower case."""
 
     headers: Headers
     body: bytes
@@ -61,7 +64,7 @@
     status: int = 0
 
     def single_header(self, name: bytes) -> bytes | None:
-        """The value of a header that may come once at most."""
+        """Return the value of a header, None if it is absent; raises Malformed if it is repeated."""
         values = [value for key, value in self.headers if key == name]
         if len(values) > 1:
             raise Malformed(400, f"more than one {name.decode()} header")
@@ -69,7 +72,7 @@
 
 
 class Stream:
-    """One connection, in either role. Owns its socket and its parser."""
+    """One HTTP/1.1 connection in the role of server or client. Owns its socket and its parser."""
 
     def __init__(
         self, loop: Loop, pool: BufferPool, sock: socket.socket, server: bool, ledger: Ledger | None = None
@@ -81,44 +84,49 @@
             h11.SERVER if server else h11.CLIENT, max_incomplete_event_size=HEAD_LIMIT_BYTES
         )
         self.closed = False
-        self.fresh = True  # not a byte of the next message has come
-        self.skipped = False  # bytes have been dropped: where the next message begins is not known
-        self._head_only = False  # the request was HEAD: its answer has no body
+        self.at_message_start = True  # no byte of the next message has been read
+        self.bytes_discarded = False  # if so, the start of the next message is unknown
+        self._answers_head_request = False  # the response has no body
         self._ledger = ledger
-        self._claimed = 0  # bytes read here that count in the ledger
-        self._raw = b""  # what the head of the next request was read from
+        self._accounted_bytes = 0  # bytes of this connection that are counted in the ledger
+        self._raw_head = b""  # the bytes that the head of the next request was parsed from
 
     def fileno(self) -> int:
+        """Return the file descriptor of the socket."""
         return self._sock.fileno()
 
     def close(self) -> None:
+        """Close the socket and release the bytes counted for it; does nothing when already closed."""
         if not self.closed:
             self.closed = True
-            self._claim(-self._claimed)
+            self._account(-self._accounted_bytes)
             self._loop.forget(self._sock.fileno())
             self._sock.close()
 
     def read_available(self) -> int | None:
-        """Read what is there: the count of bytes, 0 at the end, None if nothing is there yet."""
+        """Read the bytes that have arrived into the parser.
+
+        Returns their count, 0 at the end of the stream, None if none have arrived yet.
+        """
         with self._pool.borrow() as buffer:
             count = self._receive(buffer)
             if count is None:
                 return None
             if count:
-                self.fresh = False
-                self._claim(count)
+                self.at_message_start = False
+                self._account(count)
             try:
                 self._h11.receive_data(bytes(memoryview(buffer)[:count]))
-            except RuntimeError:  # the end was read twice
-                raise ConnectionFailed("read after the end") from None
+            except RuntimeError:  # the end of the stream was read twice
+                raise ConnectionFailed("read after the end of the stream") from None
             return count
 
     def discard_available(self) -> int | None:
-        """Read and drop what has arrived; the result is that of `read_available`.
+        """Read the bytes that have arrived and drop them; returns the same as `read_available`.
 
-        The position of the next message is lost: the connection can carry no further one.
+        The start of the next message is unknown afterwards, so the connection can carry no further one.
         """
-        self.skipped = True
+        self.bytes_discarded = True
         with self._pool.borrow() as buffer:
             return self._receive(buffer)
 
@@ -130,13 +138,13 @@
         except OSError as exc:
             raise ConnectionFailed(str(exc)) from None
 
-    def _claim(self, count: int) -> None:
-        self._claimed += count
+    def _account(self, count: int) -> None:
+        self._accounted_bytes += count
         if self._ledger is not None:
             self._ledger.held += count
 
-    def unread(self) -> bool:
-        """Whether something has come, or the end, that nobody has read yet."""
+    def has_unread_data(self) -> bool:
+        """Whether bytes, the end of the stream or an error wait to be read from the socket."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -145,29 +153,29 @@
             return True
         return True
 
-    def gone(self) -> bool:
-        """Whether the peer has ended or broken the connection, also where bytes before that are unread."""
+    def peer_closed(self) -> bool:
+        """Whether the peer has closed or reset the connection, even if earlier bytes are still unread."""
         poll = select.poll()
         poll.register(self._sock, select.POLLRDHUP)
         return bool(poll.poll(0))
 
-    def farewell(self, data: bytes) -> None:
-        """Send a last word, as far as it goes without waiting."""
+    def send_best_effort(self, data: bytes) -> None:
+        """Send as much of `data` as the socket takes at once; errors are ignored."""
         with contextlib.suppress(OSError):
             self._sock.send(data)
 
-    def trailing(self) -> int:
-        """How many bytes have come that no message has claimed yet."""
+    def unparsed_bytes(self) -> int:
+        """Return how many received bytes belong to no parsed message yet."""
         return len(self._h11.trailing_data[0])
 
     def reusable(self) -> bool:
-        """Whether a kept connection is still there, silent and between messages."""
+        """Whether an idle client connection is still open, between messages, and has received nothing."""
         if self.closed or self._h11.states != {h11.CLIENT: h11.IDLE, h11.SERVER: h11.IDLE}:
             return False
-        return not self.unread()  # neither its end nor bytes that nobody asked for
+        return not self.has_unread_data()  # neither the end of the stream nor unsolicited bytes
 
     def send(self, data: bytes, until: int | None) -> Coroutine[None]:
-        """Hand every byte to the kernel; when this returns, the last byte is written."""
+        """Write all of `data` to the socket; returns once the kernel has accepted the last byte."""
         rest = memoryview(data)
         while True:
             try:
@@ -182,7 +190,7 @@
                 raise DeadlineExceeded
 
     def frame(self, head: h11.Request | h11.Response, body: bytes) -> bytes:
-        """The bytes of a whole message."""
+        """Return the bytes of a complete message."""
         parts = [self._h11.send(head)]
         if body:
             parts.append(self._h11.send(h11.Data(data=body)))
@@ -190,10 +198,10 @@
         return b"".join(part for part in parts if part)
 
     def event(self, until: int | None) -> Coroutine[Any]:
-        """The parser's next event."""
+        """Return the next event of the parser, reading from the socket as needed."""
         while True:
             if self._h11.our_role is h11.SERVER and self._h11.their_state is h11.IDLE:
-                self._raw = self._h11.trailing_data[0]
+                self._raw_head = self._h11.trailing_data[0]
             try:
                 event = self._h11.next_event()
             except h11.RemoteProtocolError as exc:
@@ -201,7 +209,8 @@
             if event is not h11.NEED_DATA:
                 return event
             if self._ledger is not None and self._ledger.full:
-                raise Malformed(503, "no memory for more")  # guards the process: over its limit it is killed
+                # The process is killed if it exceeds its memory limit.
+                raise Malformed(503, "not enough memory to read the request")
             if self._h11.they_are_waiting_for_100_continue:
                 head = self._h11.send(h11.InformationalResponse(status_code=100, headers=[]))
                 yield from self.send(head or b"", until)
@@ -209,7 +218,7 @@
                 raise DeadlineExceeded
 
     def body(self, until: int | None, limit: int = BODY_LIMIT_BYTES) -> Coroutine[bytes]:
-        """The rest of a message whose head has come."""
+        """Return the body of a message whose head has been parsed; raises Malformed beyond `limit` bytes."""
         parts: list[bytes] = []
         size = 0
         while True:
@@ -222,28 +231,27 @@
             elif isinstance(event, h11.EndOfMessage):
                 return b"".join(parts)
             else:
-                raise ConnectionFailed("the message was cut off")
+                raise ConnectionFailed("the connection was closed in the middle of a message")
 
-    # The server's side
+    # As a server
 
     def request(self, until: int | None, limit: int = BODY_LIMIT_BYTES) -> Coroutine[Message | None]:
-        """The next request; None if the client ended the connection between requests."""
+        """Return the next request; None if the client closed the connection between requests."""
         event = yield from self.event(until)
         if not isinstance(event, h11.Request):
             return None
-        head = _HEAD_END.split(self._raw, 1)[0]
-        self._raw = b""
-        ends = _FRAMING.findall(head)
-        if len(ends) > 1 or any(b"," in end for end in ends) or _FOLDED.search(head):
-            # Guards against a request hidden in another's body: the parser lets chunks win over a length,
-            # makes one of equal lengths and unfolds lines, but the sender may mean another end of the body.
-            raise Malformed(400, "the end of the body is named twice, or a line is folded")
-        self._head_only = event.method == b"HEAD"
+        head = _HEAD_END.split(self._raw_head, 1)[0]
+        self._raw_head = b""
+        lengths = _BODY_LENGTH_HEADER.findall(head)
+        if len(lengths) > 1 or any(b"," in value for value in lengths) or _FOLDED_LINE.search(head):
+            # Prevents request smuggling: h11 prefers chunked coding to a Content-Length, merges equal lengths
+            # and unfolds lines, while the sender may have meant another end of the body.
+            raise Malformed(400, "the length of the body is given more than once, or a header line is folded")
+        self._answers_head_request = event.method == b"HEAD"
         message = Message(list(event.headers), b"", event.method, event.target)
         size = len(event.target) + sum(len(name) + len(value) + 4 for name, value in event.headers)
-        if (
-            size > HEAD_LIMIT_BYTES
-        ):  # the parser limits only what is incomplete: how it is cut must not matter
+        # h11 limits only incomplete heads: without this check the limit would depend on the segmentation.
+        if size > HEAD_LIMIT_BYTES:
             raise Malformed(431, "the head is too large")
         length = message.single_header(b"content-length")
         if length is not None and (len(length) > 9 or int(length) > limit):
@@ -251,50 +259,53 @@
         message.body = yield from self.body(until, limit)
         return message
 
-    def pending(self) -> dict[str, Any]:
-        """Of a connection whose request waits for its answer, what another process needs to give it."""
-        # The parser knows whether the request was the connection's last: it must close then.
+    def transfer_state(self) -> dict[str, Any]:
+        """Return what another process needs to answer the pending request of this connection.
+
+        `restore_transfer_state` of that process takes the values.
+        """
+        # After the last request of a connection h11 requires it to be closed.
         last = self._h11.their_state is h11.MUST_CLOSE
         return {"last": last, "rest": self._h11.trailing_data[0].decode("latin-1")}
 
-    def resume(self, values: dict[str, Any], held: int) -> None:
-        """Stand where `pending` was told: a request, with `held` bytes of body, waits for its answer."""
+    def restore_transfer_state(self, values: dict[str, Any], body_bytes: int) -> None:
+        """Continue from `transfer_state`: a request with `body_bytes` of body waits for its answer."""
         head = b"POST / HTTP/1.1\r\nHost: -\r\n%sContent-Length: 0\r\n\r\n" % (
             b"Connection: close\r\n" if values["last"] else b""
         )
         self._h11.receive_data(head + values["rest"].encode("latin-1"))
         while not isinstance(self._h11.next_event(), h11.EndOfMessage):
             pass
-        self.fresh = False
-        self._claim(held + self.trailing())
+        self.at_message_start = False
+        self._account(body_bytes + self.unparsed_bytes())
 
     def answer(
         self, status: int, body: bytes, headers: Headers, close: bool, until: int | None
     ) -> Coroutine[bool]:
-        """Send a whole answer; whether the connection can carry another request."""
+        """Send a complete response; returns whether the connection can carry another request."""
         if status != 204:
             headers = [(b"Content-Length", b"%d" % len(body)), *headers]
         if close:
             headers = [*headers, (b"Connection", b"close")]
         head = h11.Response(status_code=status, headers=headers, reason=HTTPStatus(status).phrase.encode())
-        yield from self.send(self.frame(head, b"" if self._head_only else body), until)
+        yield from self.send(self.frame(head, b"" if self._answers_head_request else body), until)
         if self._h11.our_state is h11.MUST_CLOSE or self._h11.their_state is not h11.DONE:
             return False
         self._h11.start_next_cycle()
-        self.fresh = not self.trailing()
-        self._claim(self.trailing() - self._claimed)
+        self.at_message_start = not self.unparsed_bytes()
+        self._account(self.unparsed_bytes() - self._accounted_bytes)
         return True
 
     def linger(self) -> Coroutine[None]:
-        """Say that nothing more comes and read what the peer still sends.
+        """Shut down the sending side, then read and drop what the peer still sends.
 
-        Guards the last answer: closing a socket with unread bytes resets it, and the answer may be lost.
+        Closing a socket with unread bytes resets the connection, and the peer may lose the last response.
         """
-        until = self._loop.now() + LINGER
+        until = self._loop.now() + LINGER_TIMEOUT_US
         seen = 0
         try:
             self._sock.shutdown(socket.SHUT_WR)
-            while seen < LINGER_BYTES:
+            while seen < LINGER_LIMIT_BYTES:
                 count = self.discard_available()
                 if count == 0:
                     return
@@ -304,29 +315,29 @@
         except (ConnectionFailed, OSError):
             return
 
-    # The client's side
+    # As a client
 
     def response_head(self, until: int | None) -> Coroutine[Message]:
-        """The head of the answer to what was sent."""
+        """Return the head of the response to the request that was sent."""
         while True:
             event = yield from self.event(until)
             if isinstance(event, h11.Response):
                 return Message(list(event.headers), b"", status=event.status_code)
             if not isinstance(event, h11.InformationalResponse):
-                raise ConnectionFailed("the connection ended before the answer")
+                raise ConnectionFailed("the connection was closed before the response")
 
     def response(
         self,
         until: int | None,
         limit: int = BODY_LIMIT_BYTES,
-        begun: Callable[[int], None] = lambda status: None,
+        on_head: Callable[[int], None] = lambda status: None,
     ) -> Coroutine[Message]:
-        """The whole answer; then the connection is ready for another request, or `reusable` says no.
+        """Return the complete response; `reusable` tells whether the connection can carry another request.
 
-        `begun` hears its status as soon as its head has come.
+        `on_head` is called with the status as soon as the head of the response has been read.
         """
         message = yield from self.response_head(until)
-        begun(message.status)
+        on_head(message.status)
         message.body = yield from self.body(until, limit)
         if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
             self._h11.start_next_cycle()
@@ -334,14 +345,14 @@
 
 
 def dial(loop: Loop, address: tuple[str, int], until: int) -> Coroutine[socket.socket]:
-    """Return a connected socket without Nagle's delay.
+    """Return a connected socket with Nagle's algorithm disabled.
 
     Raises ConnectionLimitReached, ConnectionFailed, or DeadlineExceeded once `until` has passed.
     """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
     except OSError as exc:
-        # Guards against blaming a peer for what is this process's own want: it has run out of descriptors.
+        # This process has run out of descriptors, which must not count as a failure of the peer.
         raise ConnectionLimitReached(str(exc)) from None
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -358,7 +369,8 @@
                     sock.getpeername()
                     break
                 except OSError:
-                    continue  # woken too early: a descriptor's number may have a past within one turn
+                    # A stale event of this turn, for an earlier socket with the same descriptor number.
+                    continue
     except BaseException as exc:
         loop.forget(sock.fileno())
         sock.close()
@@ -369,12 +381,12 @@
 
 
 def connect(loop: Loop, pool: BufferPool, address: tuple[str, int], until: int) -> Coroutine[Stream]:
-    """A new connection as a client; raises as `dial` does."""
+    """Return a new client connection; raises the same errors as `dial`."""
     return Stream(loop, pool, (yield from dial(loop, address, until)), server=False)
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """`HOST:PORT` with a numeric host."""
+    """Parse `HOST:PORT` with a numeric IPv4 host; raises ValueError for any other text."""
     host, colon, port = text.rpartition(":")
     try:
         socket.inet_aton(host)
--- a/pulleyroute/net/instance.py
+++ b/pulleyroute/net/instance.py
@@ -306,7 +306,7 @@
             try:
                 # No resending from here on, whatever the connection does: the request may have run.
                 answer = yield from stream.response(
-                    attempt.timeout_at + ANSWER_GRACE, begun=lambda status: self._begun(attempt, status)
+                    attempt.timeout_at + ANSWER_GRACE, on_head=lambda status: self._begun(attempt, status)
                 )
             except (ConnectionFailed, DeadlineExceeded, Malformed) as exc:
                 if attempt.accepted:
