--- a/pulleyroute/net/downstream.py
+++ b/pulleyroute/net/downstream.py
@@ -1,4 +1,4 @@
-"""Downstream: listener, client connections, `/-/ready`, and the instances' `/callback`."""
+"""The downstream side: the listener, the client connections, `/-/ready` and the instances' `/callback`."""
 
 from __future__ import annotations
 
@@ -26,33 +26,34 @@
 from pulleyroute.net.metrics import Ended, Metrics, by_status
 from pulleyroute.net.requests import Answer, Call, Ending, Job, Request, State
 
-READY = b"/-/ready"
-CALLBACK = b"/callback"
-REQUEST_TIME = 10_000_000  # from a request's first byte to its last
-IDLE_TIME = 90_000_000  # between two requests
-# A stranger has not made a whole valid request yet. Its first byte must come so soon after connecting, and
-# the last one of that request so soon.
-STRANGER_SILENCE = 2_500_000
-STRANGER_TIME = 2_800_000
-LATE_SILENCE = 300_000  # the same once idle connections are being closed
-SHED_AGE = 100_000  # a stranger is not shed before: its request may be on the way
-STRANGER_SHARE = 0.25  # where more of the connections are strangers, no known client is shed for another
-SHED_LOOKS = 16  # connections looked at for one to shed
-WRITE_TIME = 10_000_000
-EARLY_BYTES = 64 * 1024  # read ahead of an answer at most
-SKIP_PAUSE = 2_000  # between two reads of what is beyond that
-MOVE_PAUSE = 10_000  # between two looks at what may move to another process by now
-MOST_MISSED = 4  # that do not go before the rest waits too
-HELD = 2  # requests held for each that may wait: attempts go on for a while after their client left
-FULL_RETRY_AFTER = 1_000_000  # advice where there is no room for another request
-LABELS = ("slots", "memory")
-PASSED_ON = (b"idempotency-key", b"content-type", b"x-labels")
-
-_TXN = re.compile(rb"[A-Za-z0-9._~-]{1,128}")
-_WHOLE = re.compile(rb"[0-9]{1,12}")
-
-
-SHED = (
+READY_PATH = b"/-/ready"
+CALLBACK_PATH = b"/callback"
+REQUEST_TIMEOUT_US = 10_000_000  # from the first byte of a request to its last
+IDLE_TIMEOUT_US = 90_000_000  # between two requests
+# A new client has not sent a complete valid request yet; a known client has. Both times count from accepting
+# the connection: to the first byte, and to the last byte of the first request.
+NEW_CLIENT_FIRST_BYTE_TIMEOUT_US = 2_500_000
+NEW_CLIENT_REQUEST_TIMEOUT_US = 2_800_000
+DRAIN_REQUEST_TIMEOUT_US = 300_000  # limits these times while connections are being closed
+MIN_SHED_AGE_US = 100_000  # a younger connection is not shed: its request may be in transit
+# While new clients hold a larger share of the connection limit, no known client is shed.
+MAX_NEW_CLIENT_SHARE = 0.25
+SHED_SCAN_LIMIT = 16  # connections of each queue that are examined for one to shed
+WRITE_TIMEOUT_US = 10_000_000
+READ_AHEAD_LIMIT_BYTES = 64 * 1024  # received while a request waits for its answer
+DISCARD_INTERVAL_US = 2_000  # between two reads that discard bytes beyond that limit
+TRANSFER_INTERVAL_US = 10_000  # between two passes that move connections to another process
+MAX_FAILED_TRANSFERS = 4  # in one pass, before the other connections wait for the next pass
+# Requests kept in memory, as a multiple of the limit of open ones: attempts outlive clients that disconnect.
+RETAINED_REQUESTS_RATIO = 2
+RETRY_AFTER_WHEN_FULL_US = 1_000_000
+KNOWN_LABELS = ("slots", "memory")
+FORWARDED_HEADERS = (b"idempotency-key", b"content-type", b"x-labels")
+
+_TXN_PATTERN = re.compile(rb"[A-Za-z0-9._~-]{1,128}")
+_WHOLE_NUMBER = re.compile(rb"[0-9]{1,12}")
+
+SHED_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1.000\r\nContent-Length: 0\r\n"
     b"Connection: close\r\n\r\n"
 )
@@ -61,22 +62,23 @@
 class Connection:
     """One accepted connection."""
 
-    __slots__ = ("answer", "job", "known", "line", "since", "stream", "task", "working")
+    __slots__ = ("accepted_at", "answer", "job", "known", "processing", "shed_queue", "stream", "task")
 
-    def __init__(self, stream: Stream, since: int) -> None:
+    def __init__(self, stream: Stream, accepted_at: int) -> None:
         self.stream = stream
-        self.since = since  # when it was accepted
-        self.known = False  # it has made a whole valid request: no stranger any more
-        self.line: Line | None = None  # where it stands to be shed
+        self.accepted_at = accepted_at  # microseconds of the loop's clock
+        self.known = False  # the client has sent a complete valid request
+        self.shed_queue: ShedQueue | None = None  # None while the connection may not be shed
         self.task: Task | None = None
-        self.working = False  # a whole message of it is being dealt with
+        self.processing = False  # a complete request is being answered
         self.answer: Answer | None = None
-        self.job: Job | None = None  # that it waits for
+        self.job: Job | None = None  # the job whose answer the client waits for
 
 
-# Sends a connection to another process: what is known of it, a body, the descriptor; whether it went.
-Move = Callable[[dict[str, Any], bytes, int], bool]
-Line = OrderedDict[Connection, None]  # the first to be shed first
+# Sends a connection to another process: its state, the body of its request and its descriptor. Returns
+# whether it was sent.
+SendConnection = Callable[[dict[str, Any], bytes, int], bool]
+ShedQueue = OrderedDict[Connection, None]  # in the order in which connections are shed
 
 
 class Downstream:
@@ -89,8 +91,8 @@
         ledger: Ledger,
         host: Host,
         settings: Settings,
-        most: int,
-        most_jobs: int,
+        max_connections: int,
+        max_requests: int,
         metrics: Metrics | None = None,
     ) -> None:
         self._loop = loop
@@ -98,291 +100,308 @@
         self._ledger = ledger
         self._host = host
         self.adopt(settings)
-        self._max_connections = most  # accepted connections
-        self._max_requests = most_jobs  # requests at once; the rest is kept for the instances' calls
+        self._max_connections = max_connections
+        # Open at once; the other connections are reserved for the call-backs of instances.
+        self._max_requests = max_requests
         self._connections: set[Connection] = set()
-        self._lingering: Line = OrderedDict()  # they have their last answer
-        self._silent: Line = OrderedDict()  # strangers that have sent nothing
-        self._partial: Line = OrderedDict()  # strangers that have sent part of a request
-        self._idle: Line = OrderedDict()  # known ones between two requests
-        self.listener = Listener(loop, "listener", self._room, self._shed, self._welcome)
+        self._lingering: ShedQueue = OrderedDict()  # the last answer is sent
+        self._silent: ShedQueue = OrderedDict()  # new clients that have sent nothing
+        self._partial: ShedQueue = OrderedDict()  # new clients that have sent part of a request
+        self._idle: ShedQueue = OrderedDict()  # known clients between two requests
+        self.listener = Listener(loop, "listener", self._has_room, self._shed_one, self._on_accept)
         self.lifecycle = Lifecycle()
         self._metrics = metrics or Metrics()
-        self._move: Move | None = None  # to another process, once it has taken over
-        # A call-back for a job that is not here: whether it was heard by whoever has it, or nobody has.
+        self._send_connection: SendConnection | None = None  # set once another process has taken over
+        # Passes on a call-back for a job that this process does not hold. Returns False if the process that
+        # may hold the job did not acknowledge the call-back.
         self.forward_callback: Callable[[Call, bytes], Coroutine[bool]] | None = None
-        # Ids that the process before this one still works on.
+        # Ids of requests that the previous process still works on.
         self.predecessor_ids: frozenset[str] = frozenset()
-        self.on_drained: Callable[[], None] = loop.stop  # once nothing is owed and no connection is left
+        self.on_drained: Callable[[], None] = loop.stop  # called when no request and no connection is left
 
     def listen(self, address: tuple[str, int]) -> None:
+        """Listen on an address and serve clients; raises OSError if the address is not available."""
         self.listener.listen(address)
         self.lifecycle.serve()
 
     @property
     def address(self) -> tuple[str, int]:
+        """The address that the listener is bound to."""
         return self.listener.address
 
     def adopt(self, settings: Settings) -> None:
-        """Other settings, and so other classes, from the next request on."""
+        """Apply other settings, and so other job classes, from the next request on."""
         self._settings = settings
         self._classes = {cls.name.encode(): i for i, cls in enumerate(settings.classes)}
 
     @property
     def settings(self) -> Settings:
-        """Those in force."""
+        """The settings in force."""
         return self._settings
 
     @property
     def count(self) -> int:
-        """Accepted connections."""
+        """The number of accepted connections."""
         return len(self._connections)
 
-    def set_limits(self, most: int, most_jobs: int) -> None:
-        """Other budgets from now on."""
-        self._max_connections, self._max_requests = most, most_jobs
+    def set_limits(self, max_connections: int, max_requests: int) -> None:
+        """Replace the limits of accepted connections and of open requests."""
+        self._max_connections, self._max_requests = max_connections, max_requests
 
-    # Letting go
+    # Draining
 
     def stop(self) -> None:
-        """SIGTERM: keep serving, end the connections in good time, and leave once all is answered."""
+        """Begin to stop, as on SIGTERM: close the connections in steps and finish once all are answered."""
         longest = max(cls.give_up for cls in self._settings.classes)
         if self.lifecycle.end(self._loop.now(), longest):
-            self._let_go()
+            self._schedule_phase_checks()
 
     def standby(self) -> None:
-        """Drain: new clients are not wanted, those that are here are sent elsewhere, the process stays."""
+        """Drain: report not ready and close the connections in steps, while the process keeps running."""
         if self.lifecycle.standby(self._loop.now()):
-            self._let_go()
+            self._schedule_phase_checks()
 
     def active(self) -> None:
-        """Back to work; what is not closed yet stays open."""
+        """Return to service; connections that are not closed yet stay open."""
         self.lifecycle.active()
 
-    # Another process of this dispatcher
+    # Hand-over between two processes of this dispatcher
 
-    def hand_over_clients(self, move: Move) -> None:
-        """Another process takes the clients: accept no more, and move to it what is here."""
+    def hand_over_clients(self, send_connection: SendConnection) -> None:
+        """Stop accepting and move the connections to the process that has taken over."""
         if self.lifecycle.hand(self._loop.now()):
-            self._move = move
+            self._send_connection = send_connection
             self.listener.pause()
-            self._let_go()
-            self._moving()
+            self._schedule_phase_checks()
+            self._transfer_connections()
 
     def resume(self) -> None:
-        """The other process is gone: take clients again, unless this one was told to end."""
-        self._move = None
+        """Accept clients again after the other process has gone, unless this process is stopping."""
+        self._send_connection = None
         if self.lifecycle.resume():
             self.listener.resume()
 
-    def _moving(self) -> None:
-        """Move what can be moved by now; what is between two states is looked at again in a moment."""
-        move = self._move
-        if move is None:
+    def _transfer_connections(self) -> None:
+        """Move the connections that can be moved now; the others are tried again in a later pass."""
+        send_connection = self._send_connection
+        if send_connection is None:
             return
-        missed = 0
+        failed = 0
         for connection in list(self._connections):
             job, stream = connection.job, connection.stream
             if job is not None and not stream.bytes_discarded and movable(job):
                 body = job.request.body
                 values = {"known": True, "job": self._host.pack(job), "pending": stream.transfer_state()}
-            elif connection.line in (self._silent, self._idle) and stream.at_message_start:
+            elif connection.shed_queue in (self._silent, self._idle) and stream.at_message_start:
                 job, body = None, b""
-                values = {"known": connection.known, "since": connection.since}
+                values = {"known": connection.known, "since": connection.accepted_at}
             else:
                 continue
-            if not move(values, body, stream.fileno()):
-                # The other process is behind, or this one is too large: it is kept for now.
-                missed += 1
-                if missed == MOST_MISSED:
+            if not send_connection(values, body, stream.fileno()):
+                # The other process is behind, or the message is too large: the connection stays for now.
+                failed += 1
+                if failed == MAX_FAILED_TRANSFERS:
                     break
                 continue
-            # From here on the other process has it; this one's copy of the descriptor is closed unsaid.
+            # The other process owns the connection now; this process only closes its copy of the descriptor.
             if job is not None:
                 self._host.release(job)
             if connection.task is not None:
                 connection.task.cancel()
-        self._loop.call_at(self._loop.now() + MOVE_PAUSE, self._moving)
-        self._leave()
+        self._loop.call_at(self._loop.now() + TRANSFER_INTERVAL_US, self._transfer_connections)
+        self._finish_if_drained()
 
     def take_over_connection(
         self, sock: socket.socket, values: dict[str, Any], body: bytes, shift: int
     ) -> None:
-        """Go on with a connection that another process has moved here, and with its job where it has one."""
+        """Take over a connection that another process has moved here, with its job if it has one.
+
+        `shift` converts times of the other process's clock to this one's.
+        """
         sock.setblocking(False)
         stream = Stream(self._loop, self._pool, sock, server=True, ledger=self._ledger)
         connection = Connection(stream, values.get("since", self._loop.now()) + shift)
         connection.known = values["known"]
         first = None
         if "job" in values and self._host.knows(values["job"]["txn"]):
-            # Guards the one attempt of an id: this one was asked for twice, here and there.
+            # The client sent this id to both processes; a second job of the same id must not start.
             stream.restore_transfer_state(values["pending"], len(body))
-            first = self._tell(stream, 502, b"failed", close=True)
+            first = self._respond(stream, 502, b"failed", close=True)
         elif "job" in values:
             stream.restore_transfer_state(values["pending"], len(body))
-            connection.working = True
-            connection.job = self._host.take_over(values["job"], body, self._replying(connection), shift)
+            connection.processing = True
+            connection.job = self._host.take_over(
+                values["job"], body, self._reply_callback(connection), shift
+            )
             connection.job.request.gone = stream.peer_closed
-            first = self._awaiting(connection, connection.job)
-        self._begin(connection, first)
+            first = self._await_answer(connection, connection.job)
+        self._start(connection, first)
 
-    def _let_go(self) -> None:
+    def _schedule_phase_checks(self) -> None:
         for at in self.lifecycle.due(self._loop.now()):
-            self._loop.call_at(at, self._look)
+            self._loop.call_at(at, self._apply_phase)
 
-    def _look(self) -> None:
-        """One of the lifecycle's times has come: end what may be held no longer."""
+    def _apply_phase(self) -> None:
+        """Close the connections that the current time of the lifecycle no longer permits."""
         now = self._loop.now()
         if now >= self.lifecycle.idle_from:
-            # A nudge and no close: what has come, and is not read yet, is served.
+            # Each is woken rather than closed, so that a request that has arrived unread is still served.
             for connection in [*self._silent, *self._idle]:
                 if connection.task is not None:
                     connection.task.nudge()
         if now >= self.lifecycle.cut_from:
-            reading = [c for c in self._connections if not c.working and c.line is not self._lingering]
+            reading = [
+                c for c in self._connections if not c.processing and c.shed_queue is not self._lingering
+            ]
             for connection in reading:
-                connection.stream.send_best_effort(SHED)
+                connection.stream.send_best_effort(SHED_RESPONSE)
                 if connection.task is not None:
                     connection.task.cancel()
-        self._leave()
+        self._finish_if_drained()
 
-    def _leave(self) -> None:
-        """Stop the loop once nothing is owed any more."""
+    def _finish_if_drained(self) -> None:
+        """Call `on_drained` once the process may stop and no request or connection is left."""
         if self.lifecycle.quiet(self._loop.now()) and not self._host.open and not self._connections:
-            logger.bind(event="stopped").info("all is answered, leaving")
+            logger.bind(event="stopped").info("all requests are answered, stopping")
             self.on_drained()
 
     # Accepting
 
-    def _room(self) -> bool:
-        return len(self._connections) < self._max_connections or self._shed()
+    def _has_room(self) -> bool:
+        return len(self._connections) < self._max_connections or self._shed_one()
 
-    def _shed(self) -> bool:
-        """Make room for a new connection: strangers go first, the silent ones before the others.
+    def _shed_one(self) -> bool:
+        """Close one connection to make room for another; returns whether one could be closed.
 
-        Guards usual clients and the instances' calls against hundreds that connect and say nothing.
+        New clients are closed before known ones, and silent ones first. Otherwise hundreds of connections
+        that send nothing would keep out ordinary clients and the call-backs of instances.
         """
-        grown = self._loop.now() - SHED_AGE
-        for line in (self._lingering, self._silent, self._partial, self._idle):
-            stranger = line is self._silent or line is self._partial
+        latest_accept = self._loop.now() - MIN_SHED_AGE_US
+        for queue in (self._lingering, self._silent, self._partial, self._idle):
+            is_new = queue is self._silent or queue is self._partial
             if (
-                line is self._idle
-                and len(self._silent) + len(self._partial) > self._max_connections * STRANGER_SHARE
+                queue is self._idle
+                and len(self._silent) + len(self._partial) > self._max_connections * MAX_NEW_CLIENT_SHARE
             ):
-                return False  # guards known clients: the young strangers can be shed in a moment
-            for connection in islice(line, SHED_LOOKS):
-                if stranger and connection.since > grown:
+                return False  # known clients stay: the new ones can be shed a moment later
+            for connection in islice(queue, SHED_SCAN_LIMIT):
+                if is_new and connection.accepted_at > latest_accept:
                     break
-                if line is not self._lingering and connection.stream.has_unread_data():
-                    continue  # its request has come and waits for its turn
-                if stranger:
-                    connection.stream.send_best_effort(SHED)
+                if queue is not self._lingering and connection.stream.has_unread_data():
+                    continue  # a request has arrived and is about to be read
+                if is_new:
+                    connection.stream.send_best_effort(SHED_RESPONSE)
                 if connection.task is not None:
                     connection.task.cancel()
                 return True
         return False
 
-    def _stand(self, connection: Connection, line: Line | None) -> None:
-        """Put a connection into the line where it may be shed, or into none."""
-        if connection.line is not None:
-            connection.line.pop(connection, None)
-        connection.line = line
-        if line is not None:
-            line[connection] = None
+    def _set_shed_queue(self, connection: Connection, queue: ShedQueue | None) -> None:
+        """Move a connection to the end of a queue from which it may be shed, or out of all of them."""
+        if connection.shed_queue is not None:
+            connection.shed_queue.pop(connection, None)
+        connection.shed_queue = queue
+        if queue is not None:
+            queue[connection] = None
 
-    def _welcome(self, sock: socket.socket) -> None:
+    def _on_accept(self, sock: socket.socket) -> None:
         stream = Stream(self._loop, self._pool, sock, server=True, ledger=self._ledger)
-        self._begin(Connection(stream, self._loop.now()))
+        self._start(Connection(stream, self._loop.now()))
 
-    def _begin(self, connection: Connection, first: Coroutine[bool] | None = None) -> None:
+    def _start(self, connection: Connection, first: Coroutine[bool] | None = None) -> None:
         self._connections.add(connection)
-        connection.task = Task(self._loop, self._serving(connection, first), "client connection")
+        connection.task = Task(self._loop, self._serve(connection, first), "client connection")
         connection.task.start()
 
     # One connection
 
-    def _serving(self, connection: Connection, first: Coroutine[bool] | None) -> Coroutine[None]:
-        """Serve request after request; `first` finishes one that was taken elsewhere."""
+    def _serve(self, connection: Connection, first: Coroutine[bool] | None) -> Coroutine[None]:
+        """Serve the requests of a connection; `first` answers one that another process has read."""
         stream = connection.stream
         try:
             going = first is None or (yield from first)
             while going:
-                connection.working = False
+                connection.processing = False
                 try:
-                    if not (yield from self._first_byte(connection)):
+                    if not (yield from self._wait_first_byte(connection)):
                         return
                     if connection.known:
-                        until = self._loop.now() + REQUEST_TIME
+                        until = self._loop.now() + REQUEST_TIMEOUT_US
                     else:
-                        until = connection.since + STRANGER_TIME
-                        self._stand(connection, self._partial)
+                        until = connection.accepted_at + NEW_CLIENT_REQUEST_TIMEOUT_US
+                        self._set_shed_queue(connection, self._partial)
                     if self._loop.now() >= self.lifecycle.cut_from:
-                        until = min(until, self._loop.now() + LATE_SILENCE)
+                        until = min(until, self._loop.now() + DRAIN_REQUEST_TIMEOUT_US)
                     message = yield from stream.request(until)
-                    self._stand(connection, None)
-                    connection.working = True
+                    self._set_shed_queue(connection, None)
+                    connection.processing = True
                     if message is None:
                         return
                     going = yield from self._route(connection, message)
                 except Malformed as exc:
-                    # After an error in the framing nobody knows where the next request begins.
-                    advice = [retry_after(FULL_RETRY_AFTER)] if exc.status == 503 else None
-                    yield from self._tell(stream, exc.status, str(exc).encode(), advice, close=True)
+                    # After a framing error the start of the next request is unknown.
+                    advice = [retry_after(RETRY_AFTER_WHEN_FULL_US)] if exc.status == 503 else None
+                    yield from self._respond(stream, exc.status, str(exc).encode(), advice, close=True)
                     going = False
                 except DeadlineExceeded:
-                    yield from self._tell(stream, 408, b"the request did not come in time", close=True)
+                    yield from self._respond(stream, 408, b"the request did not arrive in time", close=True)
                     going = False
-                connection.working = True
+                connection.processing = True
                 if going and not stream.at_message_start and connection.task is not None:
-                    # Guards all others against one that sends request after request: their turn comes first.
+                    # Lets the other connections run first: a client that pipelines many requests would hold
+                    # them up.
                     connection.task.nudge()
                     yield Wait()
-            self._stand(connection, self._lingering)
+            self._set_shed_queue(connection, self._lingering)
             yield from stream.linger()
         except (ConnectionFailed, DeadlineExceeded):
             return
         finally:
-            self._stand(connection, None)
+            self._set_shed_queue(connection, None)
             self._connections.discard(connection)
             stream.close()
             if self.lifecycle.quiet(self._loop.now()):
-                self._loop.call_at(self._loop.now(), self._leave)
+                self._loop.call_at(self._loop.now(), self._finish_if_drained)
 
-    def _first_byte(self, connection: Connection) -> Coroutine[bool]:
-        """Wait between two requests; False if the connection is to end.
+    def _wait_first_byte(self, connection: Connection) -> Coroutine[bool]:
+        """Wait for the first byte of a request; returns False if the connection is to be closed.
 
-        Raises DeadlineExceeded where a stranger said nothing.
+        Raises DeadlineExceeded if a new client has sent nothing in time.
         """
         stream = connection.stream
         if not stream.at_message_start:
             return True
-        self._stand(connection, self._idle if connection.known else self._silent)
-        until = self._loop.now() + IDLE_TIME if connection.known else connection.since + STRANGER_SILENCE
+        self._set_shed_queue(connection, self._idle if connection.known else self._silent)
+        until = (
+            self._loop.now() + IDLE_TIMEOUT_US
+            if connection.known
+            else connection.accepted_at + NEW_CLIENT_FIRST_BYTE_TIMEOUT_US
+        )
         try:
             while True:
                 count = stream.read_available()
                 if count is not None:
                     return count > 0
                 if self._loop.now() >= self.lifecycle.idle_from:
-                    # Guards the drain: one that connects now is given a moment, and not a stranger's time.
-                    until = min(until, connection.since + LATE_SILENCE)
+                    # With the full time of a new client, connections accepted now would hold up the drain.
+                    until = min(until, connection.accepted_at + DRAIN_REQUEST_TIMEOUT_US)
                 woken = yield Wait(stream.fileno(), READABLE, until)
                 if woken is not Woken.READY and stream.read_available() is not None:
-                    return True  # what came at the last moment is still served
+                    return True  # a request that arrived at the last moment is still served
                 if woken is Woken.LATE and not connection.known:
                     raise DeadlineExceeded
                 if (
                     woken is Woken.NUDGED
                     and not connection.known
-                    and (self._loop.now() < connection.since + LATE_SILENCE)
+                    and (self._loop.now() < connection.accepted_at + DRAIN_REQUEST_TIMEOUT_US)
                 ):
-                    continue  # its request may be on the way
+                    continue  # the request may be in transit
                 if woken is not Woken.READY:
                     return False
         finally:
-            self._stand(connection, None)
+            self._set_shed_queue(connection, None)
 
-    def _tell(
+    def _respond(
         self,
         stream: Stream,
         status: int,
@@ -390,75 +409,81 @@
         headers: Headers | None = None,
         close: bool = False,
     ) -> Coroutine[bool]:
-        """Send an answer; whether the connection goes on."""
+        """Send a response; returns whether the connection can carry another request."""
         if body and status != 200:
             body += b"\n"
-        kind = [(b"Content-Type", b"text/plain; charset=utf-8")] if body else []
-        headers = [*kind, *(headers or [])]
-        until = self._loop.now() + WRITE_TIME
+        content_type = [(b"Content-Type", b"text/plain; charset=utf-8")] if body else []
+        headers = [*content_type, *(headers or [])]
+        until = self._loop.now() + WRITE_TIMEOUT_US
         close = close or self.lifecycle.closing(self._loop.now())
         return (yield from stream.answer(status, body, headers, close, until))
 
     def _route(self, connection: Connection, message: Message) -> Coroutine[bool]:
+        """Answer a message by its path; returns whether the connection can carry another request."""
         stream = connection.stream
         path = message.target.partition(b"?")[0]
-        if path == READY:
+        if path == READY_PATH:
             if message.method not in (b"GET", b"HEAD"):
-                return (yield from self._tell(stream, 405, headers=[(b"Allow", b"GET, HEAD")]))
+                return (yield from self._respond(stream, 405, headers=[(b"Allow", b"GET, HEAD")]))
             connection.known = True
             if not self.lifecycle.ready:
-                return (yield from self._tell(stream, 503, self.lifecycle.phase.value.encode()))
-            return (yield from self._tell(stream, 200, b"ready\n"))
-        if path == CALLBACK:
+                return (yield from self._respond(stream, 503, self.lifecycle.phase.value.encode()))
+            return (yield from self._respond(stream, 200, b"ready\n"))
+        if path == CALLBACK_PATH:
             if message.method != b"POST":
-                return (yield from self._tell(stream, 405, headers=[(b"Allow", b"POST")]))
+                return (yield from self._respond(stream, 405, headers=[(b"Allow", b"POST")]))
             try:
                 call = read_call(message.body, self._settings)
             except ValueError as exc:
-                return (yield from self._tell(stream, 400, str(exc).encode()))
+                return (yield from self._respond(stream, 400, str(exc).encode()))
             connection.known = True
             if self._host.knows(call.txn) or self.forward_callback is None:
                 self._host.call(call)
             elif not (yield from self.forward_callback(call, message.body)):
-                # Guards the job: the other process has not said that it heard, so the instance has to say it
-                # again.
-                return (yield from self._tell(stream, 503, b"the holder of the job does not answer"))
-            return (yield from self._tell(stream, 204))
+                # The other process has not acknowledged the call-back: the instance has to send it again, or
+                # the job would never end.
+                return (
+                    yield from self._respond(stream, 503, b"the process that holds the job does not answer")
+                )
+            return (yield from self._respond(stream, 204))
         job_class = self._classes.get(path[1:].partition(b"/")[0]) if path.startswith(b"/") else None
         if job_class is None:
-            return (yield from self._tell(stream, 404, b"no such class"))
+            return (yield from self._respond(stream, 404, b"no such class"))
         if message.method != b"POST":
-            return (yield from self._tell(stream, 405, headers=[(b"Allow", b"POST")]))
+            return (yield from self._respond(stream, 405, headers=[(b"Allow", b"POST")]))
         try:
             request = read_request(message, job_class)
         except (ValueError, Malformed) as exc:
-            return (yield from self._tell(stream, 400, str(exc).encode()))
+            return (yield from self._respond(stream, 400, str(exc).encode()))
         if self._host.knows(request.txn) or request.txn in self.predecessor_ids:
-            return (yield from self._tell(stream, 409, b"a request of this id is being worked on"))
+            return (yield from self._respond(stream, 409, b"a request with this id is in progress"))
         connection.known = True
         name = self._settings.classes[job_class].name
-        if self._host.open >= self._max_requests or self._host.held >= HELD * self._max_requests:
-            # Guards the descriptors that instances' calls need, without which no job would ever end, and the
-            # memory that clients could fill who leave at once and come again.
+        if (
+            self._host.open >= self._max_requests
+            or self._host.held >= RETAINED_REQUESTS_RATIO * self._max_requests
+        ):
+            # The call-backs of instances need descriptors, or no job would ever end. Clients that disconnect
+            # at once and return could otherwise fill the memory.
             self._metrics.ended(name, Ended.DEFERRED)
-            return (yield from self._tell(stream, 503, b"full", [retry_after(FULL_RETRY_AFTER)]))
+            return (yield from self._respond(stream, 503, b"full", [retry_after(RETRY_AFTER_WHEN_FULL_US)]))
         now = self._loop.now()
         if self.lifecycle.refuses(now):
             self._metrics.ended(name, Ended.DEFERRED)
-            # On standby: others serve, so there is no reason to wait.
-            return (yield from self._tell(stream, 503, self.lifecycle.phase.value.encode(), close=True))
-        # Guards what comes late against SIGKILL: it gets an answer before that, whatever becomes of it.
+            # On standby other dispatchers serve: the client need not wait before it tries one of them.
+            return (yield from self._respond(stream, 503, self.lifecycle.phase.value.encode(), close=True))
+        # A request that arrives late in the shutdown is answered in any case before SIGKILL ends the process.
         request.answer_by = self.lifecycle.answer_by(now)
-        return (yield from self._working(connection, request))
+        return (yield from self._process(connection, request))
 
-    def _working(self, connection: Connection, request: Request) -> Coroutine[bool]:
-        """Hand a request to the host and wait for its answer."""
+    def _process(self, connection: Connection, request: Request) -> Coroutine[bool]:
+        """Submit a request to the host and wait for its answer."""
         connection.answer = None
         request.gone = connection.stream.peer_closed
-        connection.job = self._host.submit(request, self._replying(connection))
-        return (yield from self._awaiting(connection, connection.job))
+        connection.job = self._host.submit(request, self._reply_callback(connection))
+        return (yield from self._await_answer(connection, connection.job))
 
-    def _replying(self, connection: Connection) -> Callable[[Answer], None]:
+    def _reply_callback(self, connection: Connection) -> Callable[[Answer], None]:
         def reply(answer: Answer) -> None:
             connection.answer = answer
             if connection.task is not None:
@@ -466,61 +491,65 @@
 
         return reply
 
-    def _awaiting(self, connection: Connection, job: Job) -> Coroutine[bool]:
-        """Wait for a job's answer, or for the client to go."""
+    def _await_answer(self, connection: Connection, job: Job) -> Coroutine[bool]:
+        """Wait for the answer of a job and send it; abandons the job if the client disconnects.
+
+        Returns whether the connection can carry another request.
+        """
         stream = connection.stream
-        skip_from = 0
+        discard_from = 0
         try:
             while (answer := connection.answer) is None:
-                early = stream.unparsed_bytes() <= EARLY_BYTES
-                if early or self._loop.now() >= skip_from:
+                within_limit = stream.unparsed_bytes() <= READ_AHEAD_LIMIT_BYTES
+                if within_limit or self._loop.now() >= discard_from:
                     woken = yield Wait(stream.fileno(), READABLE | ENDED)
                 else:
-                    woken = yield Wait(stream.fileno(), ENDED, skip_from)
+                    woken = yield Wait(stream.fileno(), ENDED, discard_from)
                 if woken is Woken.NUDGED:
                     continue
-                # Guards against a client that sends on and on: what it sends then is dropped, bit by bit. And
-                # against one that sends much and goes: its end is heard though it stands behind all that.
+                # Bytes beyond the limit are discarded a little at a time, so that a client that sends without
+                # pause cannot fill the memory. A disconnect is noticed even behind many unread bytes.
                 if (
                     stream.peer_closed()
-                    or (stream.read_available() if early else stream.discard_available()) == 0
+                    or (stream.read_available() if within_limit else stream.discard_available()) == 0
                 ):
-                    raise ConnectionFailed("the client is gone")
-                if not early:
-                    skip_from = self._loop.now() + SKIP_PAUSE
+                    raise ConnectionFailed("the client closed the connection")
+                if not within_limit:
+                    discard_from = self._loop.now() + DISCARD_INTERVAL_US
         finally:
             connection.job = None
-            self._host.abandon(job)  # changes nothing once it is answered, or held elsewhere
-        status, body, headers = _FORMS[answer.ending](answer)
-        going = yield from self._tell(stream, status, body, headers, close=stream.bytes_discarded)
-        # Guards the truth of the count: a job ends with the last byte of its answer, and not before.
+            self._host.abandon(job)  # no effect once the job is answered or moved to another process
+        status, body, headers = _RESPONSES[answer.ending](answer)
+        going = yield from self._respond(stream, status, body, headers, close=stream.bytes_discarded)
+        # A job counts as ended only once the last byte of its answer is written.
         self._metrics.ended(job.cls.name, by_status(status))
         return going
 
 
-def _refused(answer: Answer) -> tuple[int, bytes, Headers]:
+def _refused_response(answer: Answer) -> tuple[int, bytes, Headers]:
     return 503, b"refused", [retry_after(answer.retry_after)] if answer.retry_after else []
 
 
-_FORMS: dict[Ending, Callable[[Answer], tuple[int, bytes, Headers]]] = {
+_RESPONSES: dict[Ending, Callable[[Answer], tuple[int, bytes, Headers]]] = {
     Ending.SERVED: lambda answer: (200, answer.result, []),
-    Ending.REFUSED: _refused,
+    Ending.REFUSED: _refused_response,
     Ending.FAILED: lambda answer: (502, b"failed", []),
-    Ending.REJECTED: lambda answer: (400, b"no instance can use it", []),
+    Ending.REJECTED: lambda answer: (400, b"rejected by an instance", []),
 }
 
 
-def retry_after(span: int) -> tuple[bytes, bytes]:
-    return b"Retry-After", b"%.3f" % (span / 1e6)
+def retry_after(delay_us: int) -> tuple[bytes, bytes]:
+    """Return a Retry-After header, in seconds with a fraction."""
+    return b"Retry-After", b"%.3f" % (delay_us / 1e6)
 
 
 def read_request(message: Message, job_class: int) -> Request:
-    """A client's request; raises ValueError or Malformed if it is not in form."""
+    """Parse the request of a client; raises ValueError or Malformed if it is invalid."""
     txn, remaining = message.single_header(b"x-txn"), message.single_header(b"x-remaining-ms")
-    if txn is None or not _TXN.fullmatch(txn):
-        raise ValueError("X-Txn is missing or not an id")
-    if remaining is None or not _WHOLE.fullmatch(remaining):
-        raise ValueError("X-Remaining-Ms is missing or not whole milliseconds")
+    if txn is None or not _TXN_PATTERN.fullmatch(txn):
+        raise ValueError("X-Txn is missing or not a valid id")
+    if remaining is None or not _WHOLE_NUMBER.fullmatch(remaining):
+        raise ValueError("X-Remaining-Ms is missing or not a whole number of milliseconds")
     labels = read_labels(message.single_header(b"x-labels") or b"")
     pairs = dict(parse_qsl(message.target.partition(b"?")[2].decode("latin-1"), keep_blank_values=True))
     return Request(
@@ -530,7 +559,7 @@
         method=message.method,
         target=message.target,
         body=message.body,
-        headers=[(name, value) for name, value in message.headers if name in PASSED_ON],
+        headers=[(name, value) for name, value in message.headers if name in FORWARDED_HEADERS],
         slots=labels.get("slots", 1.0),
         memory=labels.get("memory", 0.0),
         key=read_key(pairs.get("k", "")),
@@ -540,24 +569,24 @@
 
 
 def read_estimate(message: Message) -> int | None:
-    """A client's guess of its job's work, in microseconds; one that is no such number counts as none.
+    """Return the client's estimate of the work of its job in microseconds, None if there is none.
 
-    Guards the job: a guess that went wrong is no reason to turn it away.
+    An invalid estimate is logged and ignored: it is no reason to reject the job.
     """
-    told = [value for name, value in message.headers if name == b"x-estimate"]
-    if len(told) == 1 and _WHOLE.fullmatch(told[0]) and int(told[0]) > 0:
-        return int(told[0])
-    if told:
-        logger.bind(event="request.estimate").info("an estimate of {!r} is passed over", told[0][:40])
+    values = [value for name, value in message.headers if name == b"x-estimate"]
+    if len(values) == 1 and _WHOLE_NUMBER.fullmatch(values[0]) and int(values[0]) > 0:
+        return int(values[0])
+    if values:
+        logger.bind(event="request.estimate").info("ignoring an invalid estimate: {!r}", values[0][:40])
     return None
 
 
 def read_labels(data: bytes) -> dict[str, float]:
-    """Of `name=value,name=value` those that are known; a value that is no sensible number is an error."""
+    """Parse the known labels of `name=value,name=value`; raises ValueError for an invalid value."""
     labels: dict[str, float] = {}
     for pair in data.decode("latin-1").split(","):
         name, _, value = pair.partition("=")
-        if name.strip() in LABELS:
+        if name.strip() in KNOWN_LABELS:
             number = float(value)
             if not 0 <= number < 1e9:
                 raise ValueError(f"label {name.strip()!r} is out of range")
@@ -566,18 +595,18 @@
 
 
 def read_key(text: str) -> int:
-    """What the request is about, as a number: the hexadecimal digits, or a digest of anything else."""
+    """Return the key of a request as a number: its hexadecimal digits, or a CRC of any other text."""
     if re.fullmatch(r"[0-9a-fA-F]{1,16}", text):
         return int(text, 16)
     return zlib.crc32(text.encode()) if text else 0
 
 
 def read_call(data: bytes, settings: Settings) -> Call:
-    """One call-back; raises ValueError if it is not in form."""
+    """Parse a call-back of an instance; raises ValueError if it is invalid."""
     try:
         value = json.loads(data)
     except RecursionError:
-        raise ValueError("nested too deep") from None
+        raise ValueError("JSON is nested too deeply") from None
     if not isinstance(value, dict):
         raise ValueError("not a JSON object")
     txn, instance = value.get("id"), value.get("from")
@@ -586,7 +615,7 @@
     state = State(value.get("state"))
     result, share = value.get("result"), value.get("share", 0.0)
     if state is State.DONE and not isinstance(result, str):
-        raise ValueError("done without a result")
+        raise ValueError("state is done, but result is not a string")
     if isinstance(share, bool) or not isinstance(share, int | float):
         raise ValueError("share is not a number")
     return Call(
--- a/tests/net/test_main.py
+++ b/tests/net/test_main.py
@@ -97,7 +97,7 @@
         node.send_signal(signal.SIGTERM)
         until(lambda: not (get(b"/-/ready") or b"").startswith(b"HTTP/1.1 200 "))
         assert node.wait(GIVEN_TIME) == 0
-        assert b"all is answered, leaving" in node.stderr.read()
+        assert b"all requests are answered, stopping" in node.stderr.read()
     finally:
         for process in (node, toy):
             process.kill()
