--- a/pulleyroute/net/host.py
+++ b/pulleyroute/net/host.py
@@ -629,7 +629,7 @@
                 took,
                 report,
                 # An accepted attempt no longer depends on its connection.
-                attempt.kept and not attempt.accepted,
+                attempt.reused_connection and not attempt.accepted,
             )
         )
         self._forget_if_finished(job)
--- a/pulleyroute/net/instance.py
+++ b/pulleyroute/net/instance.py
@@ -17,7 +17,16 @@
 from pulleyroute.net.backoff import Backoff
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.discovery import DiscoveryClient
-from pulleyroute.net.http import Broken, Crowded, Headers, Late, Malformed, Message, Stream, connect
+from pulleyroute.net.http import (
+    ConnectionFailed,
+    ConnectionLimitReached,
+    DeadlineExceeded,
+    Headers,
+    Malformed,
+    Message,
+    Stream,
+    connect,
+)
 from pulleyroute.net.loop import Coroutine, Loop, Task, Timer, Wait
 from pulleyroute.net.metrics import Metrics
 
@@ -68,31 +77,31 @@
     call: object = None  # what a front that streams has bound to the request
     incarnation: int = 0  # of the instance that the decisions chose
     written: bool = field(default=False, init=False)  # the last byte is with the kernel
-    kept: bool = field(default=False, init=False)  # sent on a connection kept from before
+    reused_connection: bool = field(default=False, init=False)  # sent on a connection kept from before
     accepted: bool = field(default=False, init=False)  # the instance answered 202
     nacked: bool = field(default=False, init=False)  # the instance answered with a marked nack
     task: Task | None = field(default=None, init=False)
 
 
-class Ended(Protocol):
+class AttemptEnded(Protocol):
     """An attempt's outcome."""
 
     def __call__(self, attempt: Attempt, outcome: Outcome, report: LoadReport | None, /) -> None: ...
 
 
-class Gate(Protocol):
+class BeginCheck(Protocol):
     """Whether an attempt may begin now; what may not is settled by whoever says so."""
 
     def __call__(self, attempt: Attempt, /) -> bool: ...
 
 
-class Rejected(Protocol):
+class RequestRejected(Protocol):
     """An instance can't use the request."""
 
     def __call__(self, attempt: Attempt, /) -> None: ...
 
 
-class Probed(Protocol):
+class ProbeEnded(Protocol):
     """A probe's outcome, and how many microseconds it took."""
 
     def __call__(
@@ -127,16 +136,16 @@
         self._discovery = discovery
         self._random = Random(seed)
         self.adopt(settings)
-        self._most = most  # connections at once
+        self._max_connections = most  # connections at once
         self._metrics = metrics or Metrics()
         self._count = 0
         self._idle: dict[WorkerId, list[Kept]] = {}
         self._sweeping = False
         self._distrust_until = 0  # a kept connection broke under a request not long ago
-        self.ended: Ended = lambda attempt, outcome, report: None
-        self.gate: Gate = lambda attempt: True
-        self.rejected: Rejected = lambda attempt: None
-        self.probed: Probed = lambda instance, outcome, took, report: None
+        self.ended: AttemptEnded = lambda attempt, outcome, report: None
+        self.gate: BeginCheck = lambda attempt: True
+        self.rejected: RequestRejected = lambda attempt: None
+        self.probed: ProbeEnded = lambda instance, outcome, took, report: None
 
     @property
     def count(self) -> int:
@@ -148,9 +157,9 @@
         self._settings = settings
         self._idle_time = int(settings.keepalive * IDLE_SHARE) or 2_000_000
 
-    def allow(self, most: int) -> None:
+    def set_connection_limit(self, most: int) -> None:
         """Another budget of connections from now on."""
-        self._most = most
+        self._max_connections = most
 
     # Connections
 
@@ -183,11 +192,11 @@
         """A new connection."""
         member = self._discovery.member(instance)
         if member is None:
-            raise Broken("not in the discovery client")
-        if self._count >= self._most:
+            raise ConnectionFailed("not in the discovery client")
+        if self._count >= self._max_connections:
             self._drop_oldest()
-        if self._count >= self._most:
-            raise Crowded("the budget of connections is used up")
+        if self._count >= self._max_connections:
+            raise ConnectionLimitReached("the budget of connections is used up")
         self._count += 1
         try:
             limit = self._settings.connect_timeout or CONNECT_TIME
@@ -264,7 +273,7 @@
                     # Guards what can't be sent again: a kept connection may be gone and not show it, as where
                     # an instance closes idle ones early.
                     stream = self._kept(attempt.instance, 0 if attempt.repeatable else SILENT_FOR)
-                attempt.kept = stream is not None
+                attempt.reused_connection = stream is not None
                 if stream is None:
                     stream = yield from self._open(attempt.instance)
                 if not self.gate(attempt):  # what allowed it may have passed while the connection came up
@@ -281,14 +290,14 @@
                     stream, attempt.instance, attempt.method, attempt.target, headers, attempt.body
                 )
                 yield from stream.send(data, attempt.timeout_at)
-            except Crowded:
+            except ConnectionLimitReached:
                 self.ended(attempt, Outcome.MOOT, None)
                 return
-            except (Broken, Late) as exc:  # the last byte was not written: it never ran
+            except (ConnectionFailed, DeadlineExceeded) as exc:  # the last byte was not written: it never ran
                 logger.bind(event="instance.unreachable", instance=attempt.instance.decode()).warning(
                     "instance {}: could not connect: {}", attempt.instance.decode(), exc
                 )
-                if attempt.kept:
+                if attempt.reused_connection:
                     self._broke(attempt.instance)
                 self.ended(attempt, Outcome.CONNECT_FAILED, None)
                 return
@@ -297,9 +306,9 @@
             try:
                 # No resending from here on, whatever the connection does: the request may have run.
                 answer = yield from stream.response(
-                    attempt.timeout_at + ANSWER_GRACE, begun=lambda status: self._begun(attempt, status)
+                    attempt.timeout_at + ANSWER_GRACE, on_head=lambda status: self._begun(attempt, status)
                 )
-            except (Broken, Late, Malformed) as exc:
+            except (ConnectionFailed, DeadlineExceeded, Malformed) as exc:
                 if attempt.accepted:
                     # Guards against a second copy: with the head of its 202 the instance has taken the job,
                     # and calls back, however the rest of that answer ends.
@@ -308,7 +317,7 @@
                     logger.bind(event="instance.reset", instance=attempt.instance.decode()).warning(
                         "instance {}: reset: {}", attempt.instance.decode(), exc
                     )
-                if attempt.kept and not isinstance(exc, Late):
+                if attempt.reused_connection and not isinstance(exc, DeadlineExceeded):
                     self._broke(attempt.instance)
                 self.ended(attempt, Outcome.RESET, None)
                 return
@@ -330,7 +339,7 @@
         report = None
         if self._settings.report_source is ReportSource.ANSWERS:
             values = [value for name, value in answer.headers if name == b"x-pressure"]
-            report = self.report(attempt.instance, values[0]) if values else None
+            report = self.parse_report(attempt.instance, values[0]) if values else None
         if answer.status in (503, 504) and marked:
             attempt.nacked = True
             self.ended(attempt, Outcome.FULL, report)
@@ -393,11 +402,11 @@
             self._keep(instance, stream, incarnation)
             stream = None
             return Outcome.OK, answer
-        except Crowded:
+        except ConnectionLimitReached:
             return Outcome.MOOT, None
-        except Late:
+        except DeadlineExceeded:
             return Outcome.TIMEOUT if written else Outcome.CONNECT_FAILED, None
-        except (Broken, Malformed):
+        except (ConnectionFailed, Malformed):
             return Outcome.RESET if written else Outcome.CONNECT_FAILED, None
         finally:
             if stream is not None:
@@ -418,12 +427,12 @@
             return  # it was not sent: nothing is known, and the instance is not to blame
         if answer is not None:
             if answer.status == 200:
-                report = self.report(instance, answer.body) if wants_load else None
+                report = self.parse_report(instance, answer.body) if wants_load else None
             else:
                 outcome = Outcome.FULL if answer.status == 503 else Outcome.ERROR
         self.probed(instance, outcome, self._loop.now() - sent, report)
 
-    def report(self, instance: WorkerId, data: bytes) -> LoadReport | None:
+    def parse_report(self, instance: WorkerId, data: bytes) -> LoadReport | None:
         """A load report, as `name=value,...` or as a JSON object; a spoilt one is one line in the log."""
         values: dict[str, object] = {}
         try:
--- a/pulleyroute/net/requests.py
+++ b/pulleyroute/net/requests.py
@@ -14,7 +14,7 @@
 from pulleyroute import interface as api
 from pulleyroute.interface import JobClass, WorkerId
 from pulleyroute.net.http import Headers
-from pulleyroute.net.instance import Attempt, Ended, Gate, Probed, Rejected
+from pulleyroute.net.instance import Attempt, AttemptEnded, BeginCheck, ProbeEnded, RequestRejected
 from pulleyroute.net.loop import Timer
 
 
@@ -112,10 +112,10 @@
     `Host` sets the four callback attributes before it posts any event.
     """
 
-    ended: Ended
-    gate: Gate
-    rejected: Rejected
-    probed: Probed
+    ended: AttemptEnded
+    gate: BeginCheck
+    rejected: RequestRejected
+    probed: ProbeEnded
 
     def attempt(self, attempt: Attempt) -> None:
         """Send an attempt, once the gate lets it begin."""
