--- a/benchmarks/capacity/hollow_member.py
+++ b/benchmarks/capacity/hollow_member.py
@@ -84,8 +84,8 @@
         self.lists = 0
         service = Service(loop, config)
         self._discovery = service.pools[POOL].discovery
-        self._hear = self._discovery.tell
-        self._discovery.tell = self._observe
+        self._hear = self._discovery.on_update
+        self._discovery.on_update = self._observe
         self.agent: Agent = join(loop, service, config)
 
     def _observe(self, update: WorkerList) -> None:
--- a/pulleyroute/__main__.py
+++ b/pulleyroute/__main__.py
@@ -201,7 +201,7 @@
         if getattr(config, name) != getattr(old, name):
             logger.warning("a change of {} needs a restart", name)
     parts.metrics.conf_loaded += 1
-    parts.discovery.move(config.discovery)
+    parts.discovery.set_address(config.discovery)
     old.settings = parts.adopt(config.settings)
     old.discovery, old.sockets, old.memory_mb = config.discovery, config.sockets, config.memory_mb
     old.shape = config.shape
--- a/pulleyroute/net/discovery.py
+++ b/pulleyroute/net/discovery.py
@@ -60,7 +60,7 @@
         self._watch: Task | None = None
         self.list = InstanceList(settings, epoch)
         self.freshness = ListFreshness()
-        self.tell: Callable[[WorkerList], None] = lambda news: None
+        self.on_update: Callable[[WorkerList], None] = lambda news: None
 
     def member(self, instance: WorkerId) -> Member | None:
         """What the list says of an instance; None for one that it never named."""
@@ -99,9 +99,9 @@
 
         `confirmed`: the process before this one may use it, and so may this one.
         """
-        news = self.list.take(known, cached=True)
+        news = self.list.apply(known, cached=True)
         self.freshness.replace()
-        self.tell(news)
+        self.on_update(news)
         if confirmed:
             self.freshness.confirm()
         if self._watch is not None:
@@ -131,7 +131,7 @@
         self.freshness.begin(self._loop.now(), self._random.random())
         self._open(start=self._pacing.first_pause())
 
-    def move(self, discovery: tuple[str, int]) -> None:
+    def set_address(self, discovery: tuple[str, int]) -> None:
         """Discovery is at another address now: take the whole list there, then watch it."""
         if discovery == self._discovery:
             return
@@ -147,7 +147,7 @@
 
     def _failed(self, what: str, why: object) -> None:
         logger.bind(event="discovery.failed", call=what).warning("discovery: {} failed: {}", what, why)
-        self.tell(WorkerList(self.version, ListKind.FAILED, []))
+        self.on_update(WorkerList(self.version, ListKind.FAILED, []))
 
     def _call(self, target: bytes) -> Coroutine[Stream]:
         until = self._loop.now() + CONNECT_TIME
@@ -174,7 +174,7 @@
             if asked != self._discovery:
                 # An old address's list and version mean nothing at the new one.
                 raise Broken("discovery has moved")
-            return self.list.take(json.loads(answer.body), cached=False)
+            return self.list.apply(json.loads(answer.body), cached=False)
         finally:
             stream.close()
 
@@ -256,9 +256,9 @@
         if data is None:
             self._unchanged()
         elif self._older(data):
-            self._news(self.list.take(self.list.departures(data), cached=False))
+            self._news(self.list.apply(self.list.departures(data), cached=False))
         else:
-            self._confirmed(self.list.take(data, cached=False))
+            self._confirmed(self.list.apply(data, cached=False))
 
     def _unchanged(self) -> None:
         """Nothing has changed since the last line; the decisions hear so if they were told of a failure."""
@@ -273,7 +273,7 @@
 
     def _news(self, news: WorkerList) -> None:
         self._deaf = False
-        self.tell(news)
+        self.on_update(news)
 
     def _older(self, data: Any) -> bool:
         """Whether a list is older than the one held, and so passed over.
--- a/pulleyroute/net/host.py
+++ b/pulleyroute/net/host.py
@@ -73,7 +73,7 @@
         self.open = 0  # requests that still wait for their answer
         self.faults = 0  # exceptions of the module
         self.retired = False  # no request comes any more: with the last one its timers end
-        discovery.tell = self.post
+        discovery.on_update = self.post
         instances.ended = self.settle
         instances.gate = self._may_begin
         instances.rejected = self._reject
--- a/pulleyroute/net/instance_list.py
+++ b/pulleyroute/net/instance_list.py
@@ -75,7 +75,7 @@
         ]
         return replace(settings, zone=zone, classes=classes)
 
-    def take(self, data: Any, cached: bool) -> WorkerList:
+    def apply(self, data: Any, cached: bool) -> WorkerList:
         """Check one object whole, then make it part of the list."""
         if not isinstance(data, dict) or not isinstance(data.get("members"), list):
             raise ValueError("not an object with members")
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -286,7 +286,7 @@
         if isinstance(back, Calls):
             back.host = host
         withheld = Withheld(host.post)
-        discovery.tell = withheld.hear
+        discovery.on_update = withheld.hear
         running = Running(pool, settings, discovery, host, back, withheld)
         if pool.instance:
             discovery.load_known(known_list(pool, running.revision))
@@ -303,7 +303,7 @@
             running.revision += 1
             running.discovery.load_known(known_list(pool, running.revision))
         if pool.discovery is not None and pool.discovery != running.pool.discovery:
-            running.discovery.move(pool.discovery)
+            running.discovery.set_address(pool.discovery)
         if isinstance(running.back, Calls):
             running.back.context = context
             running.back.server_name = pool.tls.server_name if pool.tls is not None else ""
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -19,7 +19,7 @@
 
 def told(scene):
     news = []
-    scene.discovery.tell = news.append
+    scene.discovery.on_update = news.append
     scene.host._doers[Subscribe] = lambda action: None  # the test asks, not the module
     return news
 
@@ -116,7 +116,7 @@
     old, new = scene.discovery_peer.accept(), Listener(scene.loop)
     old.message()
     old.send(CHUNKS)
-    scene.discovery.move(new.address)
+    scene.discovery.set_address(new.address)
     first = new.accept()
     assert first.message()[0].startswith(b"GET /api/targets HTTP")
     first.send(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
@@ -131,9 +131,9 @@
     assert b"?watch=1&from=1 " in watch.message()[0]
     assert [n.kind for n in news] == [ListKind.FULL] and scene.discovery.active(b"s-1")
     assert not scene.discovery.active(b"s-0") and scene.discovery.member(b"s-0") is not None
-    scene.discovery.move(new.address)  # already there
+    scene.discovery.set_address(new.address)  # already there
     assert new.untouched()
-    scene.discovery.move(scene.discovery_peer.address)
+    scene.discovery.set_address(scene.discovery_peer.address)
     scene.discovery_peer.sock.close()
     scene.loop.settle()
     scene.loop.skip(6 * SECOND)
@@ -146,7 +146,7 @@
     scene.discovery.fetch()
     peer = scene.discovery_peer.accept()
     peer.message()
-    scene.discovery.move(Listener(scene.loop).address)
+    scene.discovery.set_address(Listener(scene.loop).address)
     body = json.dumps(scene.table("s-1", revision=9)).encode()
     peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
     scene.loop.until(lambda: news)
@@ -159,7 +159,7 @@
     table = scene.table("s-0")
     for unix_ms, expected in ((0, 0), (5_000_000, 1), (5_000_250, 250_000), (4_999_999, -1000)):
         table["members"][0]["up_since_ms"] = unix_ms
-        assert scene.discovery.list.take(table, cached=False).entries[0].started == expected
+        assert scene.discovery.list.apply(table, cached=False).entries[0].started == expected
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -178,7 +178,7 @@
     names = SCENE.discovery
     for item in (data, {"revision": 1, "complete": True, "members": [data]}):
         try:
-            names.list.take(item, cached=False)
+            names.list.apply(item, cached=False)
         except ValueError:
             continue
 
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -233,9 +233,9 @@
     rules = old.host._dispatcher
     entry = old.table("s-2", phase="active", complete=False, revision=4)
     entry["members"][0]["up_since_ms"] = (old.loop.now() - SECOND) // 1000
-    old.discovery.tell(old.discovery.list.take(entry, cached=False))
+    old.discovery.on_update(old.discovery.list.apply(entry, cached=False))
     leaving = old.table("s-1", phase="leaving", complete=False, revision=5)
-    old.discovery.tell(old.discovery.list.take(leaving, cached=False))
+    old.discovery.on_update(old.discovery.list.apply(leaving, cached=False))
     rules.doubt(rules.workers[b"s-0"])
     until = rules.workers[b"s-0"].down_until
     cold = rules.workers[b"s-2"]
--- a/tests/net/test_history.py
+++ b/tests/net/test_history.py
@@ -119,7 +119,7 @@
         elif kind == "table":
             self.revision += 1
             table = scene.table(f"s-{what[0]}", phase=what[1], complete=False, revision=self.revision)
-            scene.discovery.tell(scene.discovery.list.take(table, cached=False))
+            scene.discovery.on_update(scene.discovery.list.apply(table, cached=False))
         elif kind == "pass":
             for _ in range(0, what[0], 50):
                 scene.loop.skip(50 * MS)
--- a/tests/net/test_host.py
+++ b/tests/net/test_host.py
@@ -214,7 +214,7 @@
     table = scene.table("s-0", phase="leaving", complete=False, revision=2)
     active, scene.discovery.active = (
         scene.discovery.active,
-        lambda name: (scene.discovery.list.take(table, cached=False), active(name))[1],
+        lambda name: (scene.discovery.list.apply(table, cached=False), active(name))[1],
     )
     scene.ask("/charge")
     runner = scene.runners["s-0"].accept()
--- a/tests/net/test_management.py
+++ b/tests/net/test_management.py
@@ -154,7 +154,7 @@
     assert scene.shown()["current"] == 3
     scene.discovery.load_known(scene.table("s-0", "s-1", revision=2))
     assert scene.shown()["cluster_size"] == 2
-    scene.discovery.list.take(scene.table("s-1", phase="leaving", complete=False, revision=3), cached=False)
+    scene.discovery.list.apply(scene.table("s-1", phase="leaving", complete=False, revision=3), cached=False)
     assert scene.shown()["cluster_size"] == 2  # it still finishes what it has
     worker = scene.host._dispatcher.workers[b"s-0"]
     assert "cluster_unhealthy" not in scene.shown()
--- a/tests/net/test_pushed_list.py
+++ b/tests/net/test_pushed_list.py
@@ -21,8 +21,8 @@
     def __init__(self, info=PUSHED):
         self.scene = Scene(instances=2, info=info)
         self.told = []
-        tell = self.scene.discovery.tell
-        self.scene.discovery.tell = lambda news: (self.told.append(news.kind), tell(news))
+        tell = self.scene.discovery.on_update
+        self.scene.discovery.on_update = lambda news: (self.told.append(news.kind), tell(news))
         self.scene.discovery.begin()
         self.loop, self.listener = self.scene.loop, self.scene.discovery_peer
 
@@ -176,7 +176,7 @@
     agent = Agent()
     agent.opened(1)
     new = Listener(agent.loop)
-    agent.scene.discovery.move(new.address)
+    agent.scene.discovery.set_address(new.address)
     whole = new.accept()
     assert whole.message()[0].startswith(b"GET /api/targets HTTP")
     body = json.dumps(agent.scene.table("s-1", revision=1)).encode()
--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -97,7 +97,7 @@
     scene = Scene()
     table = scene.table("s-0", complete=False, revision=2)
     table["members"][0]["up_since_ms"] = 1
-    late_connects(scene, lambda: scene.host.post(scene.discovery.list.take(table, cached=False)))
+    late_connects(scene, lambda: scene.host.post(scene.discovery.list.apply(table, cached=False)))
     client = scene.ask()
     scene.loop.until(lambda: not scene.runners["s-0"].untouched_now())
     assert written(scene) == b""
@@ -113,7 +113,7 @@
     assert b" 200 " in client.message()[0]
     table = scene.table("s-0", complete=False, revision=2)
     table["members"][0]["up_since_ms"] = 1
-    scene.host.post(scene.discovery.list.take(table, cached=False))
+    scene.host.post(scene.discovery.list.apply(table, cached=False))
     scene.ask(txn="t2", peer=client)
     assert b"X-Txn: t2" in scene.runners["s-0"].accept().message()[0]
     assert runner.pull() == b""
--- a/tests/net/test_sizes.py
+++ b/tests/net/test_sizes.py
@@ -52,7 +52,7 @@
 
 
 def test_1024_instances_go_from_one_process_to_the_next(old):
-    old.discovery.tell(old.discovery.list.take(long_list(old), cached=False))
+    old.discovery.on_update(old.discovery.list.apply(long_list(old), cached=False))
     rules = old.host._dispatcher
     doubted = f"{'é' * LONG}-{COUNT - 1}".encode()
     rules.doubt(rules.workers[doubted])
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -268,7 +268,7 @@
     for usable, revision, want in ((True, 2, True), (False, 2, False), (None, 2, False), (True, 1, False)):
         scene = Scene(instances=2)
         scene.discovery.begin()
-        scene.discovery.list.take(scene.table("s-0", "s-1", revision=2), cached=False)
+        scene.discovery.list.apply(scene.table("s-0", "s-1", revision=2), cached=False)
         scene.discovery.freshness.confirm()
         handover = Handover(scene.loop, "/nowhere", scene.clients, scene.host, scene.discovery, None)
         handover._whole = True
