--- a/pulleyroute/net/downstream.py
+++ b/pulleyroute/net/downstream.py
@@ -162,7 +162,7 @@
 
     def hand(self, move: Move) -> None:
         """Another process takes the clients: accept no more, and move to it what is here."""
-        if self.lifecycle.hand(self._loop.now()):
+        if self.lifecycle.hand_over(self._loop.now()):
             self._move = move
             self.listener.pause()
             self._let_go()
@@ -224,18 +224,18 @@
         self._begin(connection, first)
 
     def _let_go(self) -> None:
-        for at in self.lifecycle.due(self._loop.now()):
+        for at in self.lifecycle.pending_deadlines(self._loop.now()):
             self._loop.call_at(at, self._look)
 
     def _look(self) -> None:
         """One of the lifecycle's times has come: end what may be held no longer."""
         now = self._loop.now()
-        if now >= self.lifecycle.idle_from:
+        if now >= self.lifecycle.close_idle_from:
             # A nudge and no close: what has come, and is not read yet, is served.
             for connection in [*self._silent, *self._idle]:
                 if connection.task is not None:
                     connection.task.nudge()
-        if now >= self.lifecycle.cut_from:
+        if now >= self.lifecycle.abort_incomplete_from:
             reading = [c for c in self._connections if not c.working and c.line is not self._lingering]
             for connection in reading:
                 connection.stream.farewell(SHED)
@@ -245,7 +245,7 @@
 
     def _leave(self) -> None:
         """Stop the loop once nothing is owed any more."""
-        if self.lifecycle.quiet(self._loop.now()) and not self._host.open and not self._connections:
+        if self.lifecycle.may_exit(self._loop.now()) and not self._host.open and not self._connections:
             logger.bind(event="stopped").info("all is answered, leaving")
             self.left()
 
@@ -310,7 +310,7 @@
                     else:
                         until = connection.since + STRANGER_TIME
                         self._stand(connection, self._begun)
-                    if self._loop.now() >= self.lifecycle.cut_from:
+                    if self._loop.now() >= self.lifecycle.abort_incomplete_from:
                         until = min(until, self._loop.now() + LATE_SILENCE)
                     message = yield from stream.request(until)
                     self._stand(connection, None)
@@ -339,7 +339,7 @@
             self._stand(connection, None)
             self._connections.discard(connection)
             stream.close()
-            if self.lifecycle.quiet(self._loop.now()):
+            if self.lifecycle.may_exit(self._loop.now()):
                 self._loop.call_at(self._loop.now(), self._leave)
 
     def _first_byte(self, connection: Connection) -> Coroutine[bool]:
@@ -354,7 +354,7 @@
                 count = stream.pull()
                 if count is not None:
                     return count > 0
-                if self._loop.now() >= self.lifecycle.idle_from:
+                if self._loop.now() >= self.lifecycle.close_idle_from:
                     # Guards the drain: one that connects now is given a moment, and not a stranger's time.
                     until = min(until, connection.since + LATE_SILENCE)
                 woken = yield Wait(stream.fileno(), READABLE, until)
--- a/pulleyroute/net/handover.py
+++ b/pulleyroute/net/handover.py
@@ -387,7 +387,7 @@
         """The new process is gone: unless this one was told to end, it goes on as before."""
         self._after = None
         self._clients.resume()
-        if self._clients.lifecycle.takes_clients:
+        if self._clients.lifecycle.accepts_clients:
             self.open_meeting_place()
 
     # Call-backs
--- a/pulleyroute/net/lifecycle.py
+++ b/pulleyroute/net/lifecycle.py
@@ -37,7 +37,7 @@
     ENDING = "ending"
 
 
-TAKES_CLIENTS = (Phase.SERVING, Phase.STANDBY)  # whoever comes is answered, wanted or not
+ACCEPTING_PHASES = (Phase.SERVING, Phase.STANDBY)  # whoever comes is answered, wanted or not
 
 
 class Lifecycle:
@@ -47,15 +47,15 @@
         self.phase = Phase.STARTING
         self._before = Phase.STARTING  # the phase that was handed over
         self._after_standby = Phase.SERVING
-        self.handed = False
+        self.handed_over = False
         self._keep()
 
     def _keep(self) -> None:
         self.close_from = NEVER  # an answer closes its connection
-        self.idle_from = NEVER  # idle connections close
+        self.close_idle_from = NEVER  # idle connections close
         self.refuse_from = NEVER  # a job that comes now is refused
-        self.cut_from = NEVER  # a message that is not whole yet is given up
-        self.quiet_from = NEVER  # no new connection is expected any more: the process may leave
+        self.abort_incomplete_from = NEVER  # a message that is not whole yet is given up
+        self.exit_from = NEVER  # no new connection is expected any more: the process may leave
         # A job that comes from the first on, after SIGTERM, has to be answered by the second.
         self.late_from = self.late_until = NEVER
 
@@ -74,9 +74,9 @@
         self._after_standby = self.phase
         self.phase = Phase.STANDBY
         self.close_from = now
-        self.idle_from = now + STANDBY_IDLE
+        self.close_idle_from = now + STANDBY_IDLE
         self.refuse_from = now + STANDBY_REFUSE
-        self.cut_from = now + STANDBY_CUT
+        self.abort_incomplete_from = now + STANDBY_CUT
         return True
 
     def active(self) -> bool:
@@ -87,24 +87,24 @@
         self._keep()
         return True
 
-    def hand(self, now: int) -> bool:
+    def hand_over(self, now: int) -> bool:
         """Another process takes the clients from here on; whether anything changed."""
-        if self.handed:
+        if self.handed_over:
             return False
-        self.handed = True
+        self.handed_over = True
         if self.phase is Phase.ENDING:  # SIGTERM was faster than the word of the other process
-            self.quiet_from = min(self.quiet_from, now + HANDED_QUIET)
+            self.exit_from = min(self.exit_from, now + HANDED_QUIET)
         else:
             self._before, self.phase = self.phase, Phase.HANDED
         self.close_from = min(self.close_from, now + HANDED_IDLE)
-        self.idle_from = min(self.idle_from, now + HANDED_IDLE)
+        self.close_idle_from = min(self.close_idle_from, now + HANDED_IDLE)
         return True
 
     def resume(self) -> bool:
         """The other process is gone before this one was told to end; whether this one takes clients again."""
         if self.phase is not Phase.HANDED:
             return False
-        self.phase, self.handed = self._before, False
+        self.phase, self.handed_over = self._before, False
         self._keep()
         return True
 
@@ -122,8 +122,8 @@
         # Once another process has taken over there is always one.
         close = max(now + STOP_QUIET, now + int((kill - now) * STOP_CLOSE))
         self.close_from = min(self.close_from, close)
-        self.idle_from = min(self.idle_from, close)
-        self.quiet_from = now + (HANDED_QUIET if self.handed else STOP_QUIET)
+        self.close_idle_from = min(self.close_idle_from, close)
+        self.exit_from = now + (HANDED_QUIET if self.handed_over else STOP_QUIET)
         self.late_from = now + STOP_QUIET - STOP_MARGIN
         self.late_until = kill - STOP_MARGIN
         return True
@@ -136,9 +136,9 @@
         return self.phase is Phase.SERVING
 
     @property
-    def takes_clients(self) -> bool:
+    def accepts_clients(self) -> bool:
         """Whether this process answers who comes."""
-        return self.phase in TAKES_CLIENTS
+        return self.phase in ACCEPTING_PHASES
 
     def closing(self, now: int) -> bool:
         """Whether an answer that leaves now closes its connection."""
@@ -152,10 +152,14 @@
         """When a job that comes now has to be answered at the latest; None if its own time decides."""
         return self.late_until if now >= self.late_from else None
 
-    def quiet(self, now: int) -> bool:
+    def may_exit(self, now: int) -> bool:
         """Whether the process may leave once nothing is owed."""
-        return now >= self.quiet_from
+        return now >= self.exit_from
 
-    def due(self, now: int) -> list[int]:
+    def pending_deadlines(self, now: int) -> list[int]:
         """The times to come at which connections have to be looked at again."""
-        return [at for at in (self.idle_from, self.cut_from, self.quiet_from) if now < at < NEVER]
+        return [
+            at
+            for at in (self.close_idle_from, self.abort_incomplete_from, self.exit_from)
+            if now < at < NEVER
+        ]
--- a/pulleyroute/net/management.py
+++ b/pulleyroute/net/management.py
@@ -10,7 +10,7 @@
 
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.http import Broken, Late, Malformed, Message, Stream
-from pulleyroute.net.lifecycle import TAKES_CLIENTS, Phase
+from pulleyroute.net.lifecycle import ACCEPTING_PHASES, Phase
 from pulleyroute.net.listener import Listener
 from pulleyroute.net.loop import Coroutine, Loop, Task
 from pulleyroute.net.metrics import Gauges, Metrics
@@ -116,7 +116,7 @@
     """The operators' calls. Those that move the service say no once it ends, and change nothing twice."""
 
     def status() -> tuple[int, bytes]:
-        return 200 if operated.phase in TAKES_CLIENTS else 503, f"{operated.phase.value}\n".encode()
+        return 200 if operated.phase in ACCEPTING_PHASES else 503, f"{operated.phase.value}\n".encode()
 
     def metrics() -> tuple[int, bytes]:
         return 200, operated.metrics.render(operated.classes(), operated.gauges())
@@ -126,7 +126,7 @@
             move()
             phase = operated.phase
             logger.bind(event=f"operators.{name}").info("operators: {}, and now {}", name, phase.value)
-            return 200 if phase in TAKES_CLIENTS else 409, f"{phase.value}\n".encode()
+            return 200 if phase in ACCEPTING_PHASES else 409, f"{phase.value}\n".encode()
 
         return verb
 
--- a/tests/net/test_lifecycle.py
+++ b/tests/net/test_lifecycle.py
@@ -13,19 +13,25 @@
 
 def test_it_moves_only_where_the_table_says():
     lifecycle = Lifecycle()
-    assert not lifecycle.takes_clients and not lifecycle.active()
+    assert not lifecycle.accepts_clients and not lifecycle.active()
     lifecycle.serve()
     assert lifecycle.ready and lifecycle.standby(0) and not lifecycle.standby(5) and lifecycle.close_from == 0
     lifecycle.serve()
-    assert not lifecycle.ready and lifecycle.takes_clients and lifecycle.active() and lifecycle.ready
-    assert lifecycle.close_from == lifecycle.idle_from == lifecycle.refuse_from == lifecycle.cut_from == NEVER
+    assert not lifecycle.ready and lifecycle.accepts_clients and lifecycle.active() and lifecycle.ready
+    assert (
+        lifecycle.close_from
+        == lifecycle.close_idle_from
+        == lifecycle.refuse_from
+        == lifecycle.abort_incomplete_from
+        == NEVER
+    )
     assert (
         lifecycle.end(9, LONGEST)
         and not lifecycle.active()
         and not lifecycle.standby(10)
         and not lifecycle.end(11, LONGEST)
     )
-    assert lifecycle.phase is Phase.ENDING and not lifecycle.takes_clients
+    assert lifecycle.phase is Phase.ENDING and not lifecycle.accepts_clients
 
 
 @given(st.lists(st.tuples(st.sampled_from(["standby", "active", "end"]), st.integers(0, 5 * SECOND))))
@@ -44,7 +50,7 @@
             since = None
         if since is not None:  # the drain that is on, or that an end has followed
             assert lifecycle.closing(max(now, since)) and lifecycle.refuses(since + 2 * SECOND)
-            assert max(lifecycle.idle_from, lifecycle.cut_from) < since + 4 * SECOND
+            assert max(lifecycle.close_idle_from, lifecycle.abort_incomplete_from) < since + 4 * SECOND
         if lifecycle.phase is Phase.ENDING:
             assert lifecycle.answer_by(now + SECOND) <= now + 3_700_000
 
