--- a/pulleyroute/__main__.py
+++ b/pulleyroute/__main__.py
@@ -27,7 +27,7 @@
 from pulleyroute.net.instance import Instances
 from pulleyroute.net.lifecycle import Phase
 from pulleyroute.net.loop import Loop
-from pulleyroute.net.management import DESCRIPTORS, Management, verbs
+from pulleyroute.net.management import RESERVED_DESCRIPTORS, AdminListener, admin_routes
 from pulleyroute.net.metrics import Gauges, Metrics
 from pulleyroute.net.process import catch_signals, descriptors, heeding, on_error
 
@@ -151,7 +151,7 @@
         listening(config.listen, clients.listener.listen)
         discovery.freshness.when_usable(clients.lifecycle.serve)
     if config.management is not None:
-        listening(config.management, Management(loop, pool, verbs(parts)).listen)
+        listening(config.management, AdminListener(loop, pool, admin_routes(parts)).listen)
     if listener is not None:
         meeting = place(os.environ.get("TMPDIR") or "/tmp", listener)
         handover = Handover(loop, meeting, clients, host, discovery, parts)
@@ -169,7 +169,7 @@
 
 def aside(config: Config) -> int:
     """How many descriptors are for the process itself and the admin listener."""
-    return RESERVE + (DESCRIPTORS if config.management is not None else 0)
+    return RESERVE + (RESERVED_DESCRIPTORS if config.management is not None else 0)
 
 
 def budget_of(config: Config) -> int:
--- a/pulleyroute/net/management.py
+++ b/pulleyroute/net/management.py
@@ -15,21 +15,23 @@
 from pulleyroute.net.loop import Coroutine, Loop, Task
 from pulleyroute.net.metrics import Gauges, Metrics
 
-CALLERS = 24  # connections at once
-DESCRIPTORS = CALLERS + 2  # to be set aside: those, the listener, and one that waits for room
+MAX_CONNECTIONS = 24  # connections at once
+RESERVED_DESCRIPTORS = (
+    MAX_CONNECTIONS + 2
+)  # to be set aside: those, the listener, and one that waits for room
 CALL_TIME = 2_000_000  # from connecting to a whole call
 GROWN = 150_000  # a caller is not shed before: its call may be on the way
 ANSWER_TIME = 1_000_000
 BODY_LIMIT = 4096  # no call has a body that matters
 
-Verb = Callable[[], tuple[int, bytes]]  # what a call does: its status and its body
-Verbs = Mapping[bytes, Mapping[bytes, Verb]]  # by path, then by method
+AdminHandler = Callable[[], tuple[int, bytes]]  # what a call does: its status and its body
+AdminRoutes = Mapping[bytes, Mapping[bytes, AdminHandler]]  # by path, then by method
 
 
-class Management:
+class AdminListener:
     """Owns the admin listener and its callers' connections."""
 
-    def __init__(self, loop: Loop, pool: BufferPool, verbs: Verbs) -> None:
+    def __init__(self, loop: Loop, pool: BufferPool, verbs: AdminRoutes) -> None:
         self._loop, self._pool, self._verbs = loop, pool, verbs
         self._callers: dict[Stream, tuple[int, Task]] = {}  # that have made no whole call yet, oldest first
         self._lingering: dict[Stream, Task] = {}  # that have their answer
@@ -41,7 +43,7 @@
         self.listener.listen(address)
 
     def _room(self) -> bool:
-        return self._count < CALLERS or self._shed()
+        return self._count < MAX_CONNECTIONS or self._shed()
 
     def _shed(self) -> bool:
         """Give the place of the caller that has kept its call back for longest to the one that has come.
@@ -99,7 +101,7 @@
         return *verb(), []
 
 
-class Operated(Protocol):
+class AdminTarget(Protocol):
     """What the operators run, of whatever parts."""
 
     metrics: Metrics
@@ -112,7 +114,7 @@
     def active(self) -> None: ...
 
 
-def verbs(operated: Operated) -> Verbs:
+def admin_routes(operated: AdminTarget) -> AdminRoutes:
     """The operators' calls. Those that move the service say no once it ends, and change nothing twice."""
 
     def status() -> tuple[int, bytes]:
@@ -121,7 +123,7 @@
     def metrics() -> tuple[int, bytes]:
         return 200, operated.metrics.render(operated.classes(), operated.gauges())
 
-    def moving(name: str, move: Callable[[], None]) -> Verb:
+    def moving(name: str, move: Callable[[], None]) -> AdminHandler:
         def verb() -> tuple[int, bytes]:
             move()
             phase = operated.phase
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -27,7 +27,7 @@
 from pulleyroute.net.instance import Instances
 from pulleyroute.net.lifecycle import Lifecycle, Phase
 from pulleyroute.net.loop import Loop
-from pulleyroute.net.management import DESCRIPTORS, Management, verbs
+from pulleyroute.net.management import RESERVED_DESCRIPTORS, AdminListener, admin_routes
 from pulleyroute.net.metrics import Ended, Gauges, Metrics
 from pulleyroute.net.process import descriptors
 from pulleyroute.net.tls import Files, client_context, server_context
@@ -79,7 +79,9 @@
         self._marked: set[tuple[str, str]] = set()
         limits = config.limits
         sockets, memory = (limits.sockets, limits.memory) if limits is not None else (1024, 256 * 1024**2)
-        self._budget = descriptors(sockets) - RESERVE - (DESCRIPTORS if config.management is not None else 0)
+        self._budget = (
+            descriptors(sockets) - RESERVE - (RESERVED_DESCRIPTORS if config.management is not None else 0)
+        )
         self.metrics = Metrics()
         self._lifecycle = Lifecycle()
         self.status = 0  # that the process is to end with
@@ -89,7 +91,7 @@
         self.apply(config)
         if config.management is not None:
             try:
-                Management(loop, self._buffers, verbs(self)).listen(config.management)
+                AdminListener(loop, self._buffers, admin_routes(self)).listen(config.management)
             except OSError as exc:
                 raise CannotServe(
                     "management: cannot listen on {}:{}: {}".format(*config.management, exc.strerror)
--- a/tests/net/scene.py
+++ b/tests/net/scene.py
@@ -17,7 +17,7 @@
 from pulleyroute.net.host import Host
 from pulleyroute.net.instance import Instances
 from pulleyroute.net.loop import Loop
-from pulleyroute.net.management import Management, verbs
+from pulleyroute.net.management import AdminListener, admin_routes
 from pulleyroute.net.metrics import Metrics
 from pulleyroute.settings import read_settings
 
@@ -190,7 +190,7 @@
         self.parts = Parts(
             None, self.ledger, self.discovery, self.instances, self.clients, self.host, self.metrics
         )
-        self.admin = Management(self.loop, pool, verbs(self.parts))
+        self.admin = AdminListener(self.loop, pool, admin_routes(self.parts))
         self.admin.listen(("127.0.0.1", 0))
         Scene.made.append(self)
         if listens:
--- a/tests/net/test_management.py
+++ b/tests/net/test_management.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from pulleyroute.net.management import CALLERS
+from pulleyroute.net.management import MAX_CONNECTIONS
 from pulleyroute.net.metrics import Ended, Gauges, Metrics
 from tests.net.scene import NACK, SECOND, TAKEN, Scene
 
@@ -48,14 +48,14 @@
 
 def test_callers_that_say_nothing_cannot_keep_a_call_out_nor_can_clients():
     scene = Scene(most=2)
-    crowd = [scene.operator(b"GET /sta" * (n % 2)) for n in range(3 * CALLERS)]
+    crowd = [scene.operator(b"GET /sta" * (n % 2)) for n in range(3 * MAX_CONNECTIONS)]
     clients = [scene.client() for _ in range(9)]
     peer = scene.operator(b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n")
     scene.loop.settle()
     for _ in range(20):  # well under the second that an answer may take
         scene.loop.skip(40_000)
         scene.loop.settle()
-        assert scene.admin._count <= CALLERS
+        assert scene.admin._count <= MAX_CONNECTIONS
     assert b" 200 " in peer.message()[0]
     for each in crowd + clients:
         each.close()
@@ -63,7 +63,7 @@
 
 def test_a_call_is_answered_while_callers_before_it_linger():
     scene = Scene()
-    stay = [scene.operator(b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n") for _ in range(CALLERS)]
+    stay = [scene.operator(b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n") for _ in range(MAX_CONNECTIONS)]
     for peer in stay:
         assert b" 200 " in peer.message()[0]
     assert scene.operate("GET", "/status")[0] == 200  # no time has passed
