--- a/pulleyroute/grpc/front.py
+++ b/pulleyroute/grpc/front.py
@@ -22,7 +22,7 @@
 from pulleyroute.net.http2 import FLOOD, Http2, Limits, Owner, Stream
 from pulleyroute.net.listener import Listener
 from pulleyroute.net.loop import Loop
-from pulleyroute.net.metrics import Ended, Metrics
+from pulleyroute.net.metrics import JobOutcome, Metrics
 from pulleyroute.net.requests import Request
 from pulleyroute.net.tls import Tls
 
@@ -178,7 +178,7 @@
             raise BadHead(Status.DEADLINE_EXCEEDED, "the deadline was over when the call came")
         host = target.host
         if len(self.calls) >= self.limits.calls or self.ledger.full:
-            self._metrics.ended(target.class_name, Ended.DEFERRED)
+            self._metrics.job_ended(target.class_name, JobOutcome.DEFERRED)
             stream.send_headers(failure(Status.UNAVAILABLE, "full: it has not run", FULL_ADVICE), end=True)
             return Ignored(stream)
         call = Call(
@@ -205,8 +205,14 @@
     def _over(self, call: Call, status: Status) -> None:
         self.calls.discard(call)
         if call.job is not None and not call.gone:
-            how = Ended.ANSWERED if status is Status.OK else Ended.DEFERRED if call.refused else Ended.ERRORED
-            self._metrics.ended(call.job.cls.name, how)
+            how = (
+                JobOutcome.ANSWERED
+                if status is Status.OK
+                else JobOutcome.DEFERRED
+                if call.refused
+                else JobOutcome.ERRORED
+            )
+            self._metrics.job_ended(call.job.cls.name, how)
         if call.stream.waiting and call.stream.open and call.job is not None:
             self._unread[call.stream] = max(call.job.deadline, self._loop.now()) + GRACE
             if len(self._unread) == 1:
--- a/pulleyroute/net/downstream.py
+++ b/pulleyroute/net/downstream.py
@@ -23,7 +23,7 @@
 from pulleyroute.net.lifecycle import Lifecycle
 from pulleyroute.net.listener import Listener
 from pulleyroute.net.loop import ENDED, READABLE, Coroutine, Loop, Task, Wait, Woken
-from pulleyroute.net.metrics import Ended, Metrics, by_status
+from pulleyroute.net.metrics import JobOutcome, Metrics, outcome_of_status
 from pulleyroute.net.requests import Answer, Call, Ending, Job, Request, State
 
 READY = b"/-/ready"
@@ -431,11 +431,11 @@
         if self._host.open >= self._most_jobs or self._host.held >= HELD * self._most_jobs:
             # Guards the descriptors that instances' calls need, without which no job would ever end, and the
             # memory that clients could fill who leave at once and come again.
-            self._metrics.ended(name, Ended.DEFERRED)
+            self._metrics.job_ended(name, JobOutcome.DEFERRED)
             return (yield from self._tell(stream, 503, b"full", [retry_after(FULL_RETRY_AFTER)]))
         now = self._loop.now()
         if self.lifecycle.refuses(now):
-            self._metrics.ended(name, Ended.DEFERRED)
+            self._metrics.job_ended(name, JobOutcome.DEFERRED)
             # On standby: others serve, so there is no reason to wait.
             return (yield from self._tell(stream, 503, self.lifecycle.phase.value.encode(), close=True))
         # Guards what comes late against SIGKILL: it gets an answer before that, whatever becomes of it.
@@ -482,7 +482,7 @@
         status, body, headers = _FORMS[answer.ending](answer)
         going = yield from self._tell(stream, status, body, headers, close=stream.skipped)
         # Guards the truth of the count: a job ends with the last byte of its answer, and not before.
-        self._metrics.ended(job.cls.name, by_status(status))
+        self._metrics.job_ended(job.cls.name, outcome_of_status(status))
         return going
 
 
--- a/pulleyroute/net/metrics.py
+++ b/pulleyroute/net/metrics.py
@@ -12,12 +12,12 @@
 from enum import Enum
 
 PREFIX = "app."
-REFUSALS = (429, 503)
+REJECTION_STATUSES = (429, 503)
 # Guards the form: a class may be named by what ends a name, a value or a line.
 _UNFIT = re.compile(r"[^A-Za-z0-9_-]")
 
 
-class Ended(Enum):
+class JobOutcome(Enum):
     """How a job ended for its client, by the status that was sent."""
 
     ANSWERED = "answered"
@@ -25,11 +25,11 @@
     ERRORED = "errored"
 
 
-def by_status(status: int) -> Ended:
+def outcome_of_status(status: int) -> JobOutcome:
     """What a final answer of this HTTP status counts as."""
     if status == 200:
-        return Ended.ANSWERED
-    return Ended.DEFERRED if status in REFUSALS else Ended.ERRORED
+        return JobOutcome.ANSWERED
+    return JobOutcome.DEFERRED if status in REJECTION_STATUSES else JobOutcome.ERRORED
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,23 +45,23 @@
     """Owns the counts."""
 
     def __init__(self) -> None:
-        self._ended: dict[str, dict[Ended, int]] = {}
+        self._ended: dict[str, dict[JobOutcome, int]] = {}
         self.sends = 0  # attempts whose last byte is with the kernel
         self.conf_loaded = 0  # files taken at a reload
         self.conf_invalid = 0  # and files turned down
 
-    def ended(self, job_class: str, how: Ended) -> None:
+    def job_ended(self, job_class: str, how: JobOutcome) -> None:
         """A job's final answer has left, its last byte included."""
-        self.counts(job_class)[how] += 1
+        self.outcome_counts(job_class)[how] += 1
 
-    def counts(self, job_class: str) -> dict[Ended, int]:
+    def outcome_counts(self, job_class: str) -> dict[JobOutcome, int]:
         """The counts of a class, by how its jobs ended."""
-        return self._ended.setdefault(job_class, dict.fromkeys(Ended, 0))
+        return self._ended.setdefault(job_class, dict.fromkeys(JobOutcome, 0))
 
     def render(self, classes: Iterable[str], gauges: Gauges) -> bytes:
         """All of them, one a line; the classes in force come though none of their jobs has ended yet."""
         for name in classes:
-            self.counts(name)
+            self.outcome_counts(name)
         lines = [
             f"{how.value}.{_UNFIT.sub('_', name)}:{count}|c"
             for name, counts in self._ended.items()
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -28,7 +28,7 @@
 from pulleyroute.net.lifecycle import Lifecycle, Phase
 from pulleyroute.net.loop import Loop
 from pulleyroute.net.management import RESERVED_DESCRIPTORS, AdminListener, admin_routes
-from pulleyroute.net.metrics import Ended, Gauges, Metrics
+from pulleyroute.net.metrics import Gauges, JobOutcome, Metrics
 from pulleyroute.net.process import descriptors
 from pulleyroute.net.tls import Files, client_context, server_context
 from pulleyroute.service.changes import Plan, plan
@@ -185,8 +185,8 @@
 
     def jobs(self) -> tuple[int, int]:
         """How many jobs were served, and how many have ended, since the start."""
-        counts = [self.metrics.counts(name) for name in self.classes()]
-        return sum(each[Ended.ANSWERED] for each in counts), sum(sum(each.values()) for each in counts)
+        counts = [self.metrics.outcome_counts(name) for name in self.classes()]
+        return sum(each[JobOutcome.ANSWERED] for each in counts), sum(sum(each.values()) for each in counts)
 
     # Configurations
 
--- a/tests/net/test_management.py
+++ b/tests/net/test_management.py
@@ -6,7 +6,7 @@
 import pytest
 
 from pulleyroute.net.management import MAX_CONNECTIONS
-from pulleyroute.net.metrics import Ended, Gauges, Metrics
+from pulleyroute.net.metrics import Gauges, JobOutcome, Metrics
 from tests.net.scene import NACK, SECOND, TAKEN, Scene
 
 
@@ -71,7 +71,7 @@
 
 def test_names_that_would_break_a_line_are_made_fit_and_a_dropped_class_keeps_its_counts():
     metrics = Metrics()
-    metrics.ended("old", Ended.ANSWERED)
+    metrics.job_ended("old", JobOutcome.ANSWERED)
     text = metrics.render(["a:b|c\n"], Gauges(1, 2, 3)).decode()
     assert "app.answered.a_b_c_:0|c\n" in text and "app.answered.old:1|c\n" in text
     assert "app.current:1|g\napp.cluster_size:2|g\napp.cluster_unhealthy:3|g\n" in text
