--- a/pulleyroute/__main__.py
+++ b/pulleyroute/__main__.py
@@ -29,7 +29,7 @@
 from pulleyroute.net.loop import Loop
 from pulleyroute.net.management import RESERVED_DESCRIPTORS, AdminListener, admin_routes
 from pulleyroute.net.metrics import Gauges, Metrics
-from pulleyroute.net.process import catch_signals, descriptors, heeding, on_error
+from pulleyroute.net.process import catch_signals, ensure_descriptors, handle_signals, on_error
 
 # How the descriptors are shared out. What is left is for discovery, the listener and the process itself.
 RESERVE = 24
@@ -174,7 +174,7 @@
 
 def budget_of(config: Config) -> int:
     """How many descriptors are for clients and instances."""
-    return descriptors(config.sockets) - aside(config)
+    return ensure_descriptors(config.sockets) - aside(config)
 
 
 def reload(parts: Parts) -> None:
@@ -219,7 +219,7 @@
     except (ConfigError, ValueError) as exc:
         print(f"pulleyroute: {exc}", file=sys.stderr)
         return 2
-    loop.spawn(heeding(source, lambda: reload(parts), parts.clients.stop), "signals")
+    loop.spawn(handle_signals(source, lambda: reload(parts), parts.clients.stop), "signals")
     gc.freeze()
     logger.bind(event="started").info(
         "pulleyroute {} as {} on {}:{}", __version__, config.name, *config.listen
--- a/pulleyroute/cli/emulate.py
+++ b/pulleyroute/cli/emulate.py
@@ -31,19 +31,19 @@
 
 def _loop() -> Loop:
     from pulleyroute.net.loop import Loop
-    from pulleyroute.net.process import all_descriptors, on_error
+    from pulleyroute.net.process import on_error, raise_descriptor_limit
 
     # A fleet of 1,024 has as many connections here; the limit that shells set would else end the process.
-    all_descriptors()
+    raise_descriptor_limit()
     return Loop(on_error)
 
 
 def _run(loop: Loop, line: str) -> None:
     """Say that it is there, and run until SIGTERM."""
-    from pulleyroute.net.process import catch_signals, heeding
+    from pulleyroute.net.process import catch_signals, handle_signals
 
     source, sink = catch_signals()
-    loop.spawn(heeding(source, lambda: None, loop.stop), "signals")
+    loop.spawn(handle_signals(source, lambda: None, loop.stop), "signals")
     print(line, flush=True)
     loop.run()
     sink.close()
--- a/pulleyroute/cli/serve.py
+++ b/pulleyroute/cli/serve.py
@@ -14,7 +14,7 @@
 from pulleyroute.config import Config, Invalid, load
 from pulleyroute.net import log
 from pulleyroute.net.loop import Loop
-from pulleyroute.net.process import catch_signals, heeding, on_error
+from pulleyroute.net.process import catch_signals, handle_signals, on_error
 from pulleyroute.service import CannotServe, Service
 
 HELP = (
@@ -55,7 +55,7 @@
     except CannotServe as exc:
         print(f"{config}: {exc}", file=sys.stderr)
         raise typer.Exit(2) from None
-    loop.spawn(heeding(source, lambda: reload(service, config), service.stop), "signals")
+    loop.spawn(handle_signals(source, lambda: reload(service, config), service.stop), "signals")
     gc.freeze()
     gc.set_threshold(
         5_000, 5, 5
--- a/pulleyroute/lab/fleet/rig.py
+++ b/pulleyroute/lab/fleet/rig.py
@@ -43,7 +43,7 @@
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.http import Broken, Crowded, Late, Malformed, connect
 from pulleyroute.net.loop import Coroutine, Loop, Wait
-from pulleyroute.net.process import all_descriptors
+from pulleyroute.net.process import raise_descriptor_limit
 
 SECOND = 1_000_000
 PATIENCE = 90 * SECOND  # for what only a broken program keeps waiting for
@@ -154,7 +154,7 @@
         agreement: bool = True,
     ) -> None:
         """`program`: what a dispatcher is started with; `agreement` False leaves the fleet block out."""
-        all_descriptors()  # each member has three links here and one more for each runner
+        raise_descriptor_limit()  # each member has three links here and one more for each runner
         self.loop, self.schedule, self.folder = loop, schedule, folder
         self._shape = schedule.shape
         self._program = program or [sys.executable, "-m", "pulleyroute.cli", "serve"]
--- a/pulleyroute/net/process.py
+++ b/pulleyroute/net/process.py
@@ -18,7 +18,7 @@
     logger.bind(event="task.failed", task=name).opt(exception=exc).error("{} ended by an exception", name)
 
 
-def descriptors(wanted: int) -> int:
+def ensure_descriptors(wanted: int) -> int:
     """As many as the configuration allows, if the system lets this process have them."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != resource.RLIM_INFINITY and soft < wanted:
@@ -30,7 +30,7 @@
     return wanted
 
 
-def all_descriptors() -> None:
+def raise_descriptor_limit() -> None:
     """Let this process have as many as the system lets it have; a usual start is 1,024."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
@@ -47,7 +47,9 @@
     return source, sink
 
 
-def heeding(source: socket.socket, reload: Callable[[], None], stop: Callable[[], None]) -> Coroutine[None]:
+def handle_signals(
+    source: socket.socket, reload: Callable[[], None], stop: Callable[[], None]
+) -> Coroutine[None]:
     """What the signals ask for; several that come at once count as one."""
     while True:
         yield Wait(source.fileno(), READABLE)
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -29,7 +29,7 @@
 from pulleyroute.net.loop import Loop
 from pulleyroute.net.management import RESERVED_DESCRIPTORS, AdminListener, admin_routes
 from pulleyroute.net.metrics import Gauges, JobOutcome, Metrics
-from pulleyroute.net.process import descriptors
+from pulleyroute.net.process import ensure_descriptors
 from pulleyroute.net.tls import Files, client_context, server_context
 from pulleyroute.service.changes import Plan, plan
 from pulleyroute.service.withheld import FleetHost, Withheld
@@ -80,7 +80,9 @@
         limits = config.limits
         sockets, memory = (limits.sockets, limits.memory) if limits is not None else (1024, 256 * 1024**2)
         self._budget = (
-            descriptors(sockets) - RESERVE - (RESERVED_DESCRIPTORS if config.management is not None else 0)
+            ensure_descriptors(sockets)
+            - RESERVE
+            - (RESERVED_DESCRIPTORS if config.management is not None else 0)
         )
         self.metrics = Metrics()
         self._lifecycle = Lifecycle()
--- a/tests/net/test_main.py
+++ b/tests/net/test_main.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from pulleyroute.__main__ import descriptors
+from pulleyroute.__main__ import ensure_descriptors
 
 ROOT = Path(__file__).parent.parent.parent
 HOST = "127.77.13.5"  # an address that nothing else uses
@@ -108,6 +108,6 @@
     limits = {"now": (256, 512)}
     monkeypatch.setattr(resource, "getrlimit", lambda which: limits["now"])
     monkeypatch.setattr(resource, "setrlimit", lambda which, new: limits.update(now=new))
-    assert descriptors(128) == 128 and limits["now"] == (256, 512)
-    assert descriptors(400) == 400 and limits["now"] == (400, 512)
-    assert descriptors(1024) == 512 and limits["now"] == (512, 512)
+    assert ensure_descriptors(128) == 128 and limits["now"] == (256, 512)
+    assert ensure_descriptors(400) == 400 and limits["now"] == (400, 512)
+    assert ensure_descriptors(1024) == 512 and limits["now"] == (512, 512)
