--- a/pulleyroute/net/discovery.py
+++ b/pulleyroute/net/discovery.py
@@ -20,7 +20,7 @@
 from pulleyroute.interface import ListKind, Settings, WorkerId, WorkerList
 from pulleyroute.net import log
 from pulleyroute.net.buffers import BufferPool
-from pulleyroute.net.call_pacing import CONNECT_TIME, SILENCE, CallPacing
+from pulleyroute.net.call_pacing import CONNECT_TIMEOUT, WATCH_TIMEOUT, CallPacing
 from pulleyroute.net.http import Broken, Crowded, Late, Malformed, Stream, connect
 from pulleyroute.net.instance_list import InstanceList, Member
 from pulleyroute.net.json_lines import LINE_LIMIT, JsonLineSplitter
@@ -150,7 +150,7 @@
         self.on_update(WorkerList(self.version, ListKind.FAILED, []))
 
     def _call(self, target: bytes) -> Coroutine[Stream]:
-        until = self._loop.now() + CONNECT_TIME
+        until = self._loop.now() + CONNECT_TIMEOUT
         if log.debugging:
             log.event("list", call="watch" if b"?" in target else "whole")
         stream = yield from connect(self._loop, self._pool, self._discovery, until)
@@ -168,7 +168,7 @@
         asked = self._discovery
         stream = yield from self._call(PATH)
         try:
-            answer = yield from stream.response(self._loop.now() + self._pacing.answer_time, LINE_LIMIT)
+            answer = yield from stream.response(self._loop.now() + self._pacing.answer_timeout, LINE_LIMIT)
             if answer.status != 200:
                 raise Broken(f"status {answer.status}")
             if asked != self._discovery:
@@ -229,7 +229,7 @@
         """Tell of changes until the watch breaks."""
         stream = yield from self._call(b"%s?watch=1&from=%d" % (PATH, self.version))
         try:
-            answer = yield from stream.answer_head(self._loop.now() + self._pacing.answer_time)
+            answer = yield from stream.answer_head(self._loop.now() + self._pacing.answer_timeout)
             if answer.status != 200:
                 raise Broken(f"status {answer.status}")
             logger.bind(event="discovery.watching").info(
@@ -241,7 +241,7 @@
             while True:
                 # Each line has to be whole so long after the one before: a discovery that went silent, or one
                 # that trickles, would else hold the watch for ever.
-                event = yield from stream.event(heard + SILENCE)
+                event = yield from stream.event(heard + WATCH_TIMEOUT)
                 if not isinstance(event, h11.Data):
                     raise Broken("the watch ended")
                 for line in splitter.feed(bytes(event.data)):
--- a/pulleyroute/net/list_freshness.py
+++ b/pulleyroute/net/list_freshness.py
@@ -23,7 +23,7 @@
 LAST_CALL_SPREAD = 300_000
 
 
-class Standing(Enum):
+class ListStatus(Enum):
     """What the list rests on."""
 
     GIVEN = "given"  # nothing else is to be asked, as where a configuration spells the list out
@@ -36,35 +36,35 @@
     """Owns the standing of the list, and who waits for it to become usable."""
 
     def __init__(self) -> None:
-        self.standing = Standing.GIVEN
+        self.status = ListStatus.GIVEN
         self._last_call_at = 0  # the last call before the list is used unconfirmed begins by then
         self._waiting: list[Callable[[], None]] = []
 
     @property
     def usable(self) -> bool:
         """Whether work may be sent by this list."""
-        return self.standing is not Standing.UNCONFIRMED
+        return self.status is not ListStatus.UNCONFIRMED
 
     def begin(self, now: int, draw: float) -> None:
         """A process begins, and asks discovery from now on; `draw` is a random number from 0 to 1."""
-        self.standing = Standing.UNCONFIRMED
+        self.status = ListStatus.UNCONFIRMED
         self._last_call_at = now + START_PATIENCE - int(draw * LAST_CALL_SPREAD)
 
     def confirm(self) -> None:
         """Discovery has spoken: the list is what it says."""
-        if self.standing is not Standing.GIVEN:
-            self._change(Standing.CONFIRMED)
+        if self.status is not ListStatus.GIVEN:
+            self._change(ListStatus.CONFIRMED)
 
     def replace(self) -> None:
         """Another list from elsewhere is in the place of the one before."""
-        if self.standing is not Standing.GIVEN:
-            self.standing = Standing.UNCONFIRMED
+        if self.status is not ListStatus.GIVEN:
+            self.status = ListStatus.UNCONFIRMED
 
     def call_failed(self, now: int) -> bool:
         """A call to discovery has failed; whether the list is used unconfirmed from now on."""
         if self.usable or now < self._last_call_at:
             return False
-        self._change(Standing.ASSUMED)
+        self._change(ListStatus.ASSUMED)
         return True
 
     def next_call(self, planned: int) -> int:
@@ -78,8 +78,8 @@
         else:
             self._waiting.append(callback)
 
-    def _change(self, standing: Standing) -> None:
-        self.standing = standing
+    def _change(self, status: ListStatus) -> None:
+        self.status = status
         waiting, self._waiting = self._waiting, []
         for callback in waiting:
             callback()
--- a/tests/net/test_list_age.py
+++ b/tests/net/test_list_age.py
@@ -21,13 +21,13 @@
 
 def test_all_that_stands_between_a_silence_and_the_next_news_is_within_the_protocols_time():
     t = call_pacing
-    for spent in (t.SILENCE + t.FIRST_PAUSE, t.LONGEST_PAUSE, *range(0, t.LONGEST_PAUSE, 50 * MS)):
-        answer = t.time_to_answer(spent)
-        assert spent + t.CONNECT_TIME + answer <= t.TOLD
-        assert t.LEAST_ANSWER <= answer <= t.ANSWER
-    assert t.time_to_answer(0) == t.ANSWER
-    assert t.SILENCE >= 2 * SECOND + 500 * MS  # an empty line comes every 2 s
-    assert t.SILENCE >= t.STOOD  # so that one that has fallen silent counts as one that stood
+    for spent in (t.WATCH_TIMEOUT + t.FIRST_PAUSE_LIMIT, t.PAUSE_LIMIT, *range(0, t.PAUSE_LIMIT, 50 * MS)):
+        answer = t.answer_timeout(spent)
+        assert spent + t.CONNECT_TIMEOUT + answer <= t.UPDATE_DEADLINE
+        assert t.ANSWER_TIMEOUT_MIN <= answer <= t.ANSWER_TIMEOUT_MAX
+    assert t.answer_timeout(0) == t.ANSWER_TIMEOUT_MAX
+    assert t.WATCH_TIMEOUT >= 2 * SECOND + 500 * MS  # an empty line comes every 2 s
+    assert t.WATCH_TIMEOUT >= t.STABLE_WATCH  # so that one that has fallen silent counts as one that stood
 
 
 @pytest.mark.parametrize("dispatchers", [1, 200])
@@ -42,7 +42,7 @@
         silent = agent.loop.time  # from here on nothing comes, and then s-0 drains
         while agent.listener.untouched_now():
             agent.loop.skip(20 * MS)
-        assert agent.loop.time - silent <= call_pacing.SILENCE + call_pacing.FIRST_PAUSE + 20 * MS
+        assert agent.loop.time - silent <= call_pacing.WATCH_TIMEOUT + call_pacing.FIRST_PAUSE_LIMIT + 20 * MS
         agent.opened(1).send(agent.line("s-0", phase="leaving", complete=False, revision=2))
         agent.loop.until(lambda agent=agent: agent.ready() == [b"s-1"])
 
@@ -72,7 +72,7 @@
             at, i = heapq.heappop(self.calls)
             begun = max(at, self.free)
             self.free = begun + self.each
-            patience = min(self.patience, self.pacings[i].answer_time)
+            patience = min(self.patience, self.pacings[i].answer_timeout)
             if begun - at <= patience:
                 self.done[i] = self.free
             else:
@@ -99,13 +99,13 @@
 
 @pytest.mark.parametrize("patience", [1, 2, 3])
 def test_the_callers_of_a_slow_discovery_are_each_through_within_six_seconds_of_its_return(patience):
-    assert max(ends_of(patience * SECOND)) <= call_pacing.TOLD
+    assert max(ends_of(patience * SECOND)) <= call_pacing.UPDATE_DEADLINE
 
 
 @pytest.mark.parametrize("outage", [1, 2, 3, 5, 20])
 def test_so_they_are_however_long_it_was_away(outage):
     # Failure: pauses drawn at random bunch, the more so while they still grow: the last needed 18 s and more.
-    assert max(ends_of(SECOND, outage * SECOND)) <= call_pacing.TOLD
+    assert max(ends_of(SECOND, outage * SECOND)) <= call_pacing.UPDATE_DEADLINE
 
 
 def test_callers_that_share_a_clock_call_evenly_each_in_its_own_slot():
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -9,7 +9,7 @@
 from pulleyroute.net.config import load_config
 from pulleyroute.net.handover import Handover
 from pulleyroute.net.lifecycle import Phase
-from pulleyroute.net.list_freshness import START_PATIENCE, ListFreshness, Standing
+from pulleyroute.net.list_freshness import START_PATIENCE, ListFreshness, ListStatus
 from tests.net.scene import INFO, MS, READY, SECOND, TAKEN, Listener, Peer, Scene, StillLoop, callback
 from tests.net.test_discovery import CHUNKS, chunk
 
@@ -185,7 +185,7 @@
         discovery(scene, now)
         scene.step()
         assert scene.untouched()
-    assert scene.parts.discovery.freshness.standing is Standing.CONFIRMED and scene.ready()
+    assert scene.parts.discovery.freshness.status is ListStatus.CONFIRMED and scene.ready()
     served, refused = 0, 0
     for peer in scene.clients[: asked - 5]:
         head = peer.message()[0]
@@ -218,7 +218,7 @@
         scene.step()
         assert scene.loop.time - scene.began <= READY_WITHIN
     assert scene.loop.time - scene.began >= START_PATIENCE - SECOND
-    assert scene.parts.discovery.freshness.standing is Standing.ASSUMED
+    assert scene.parts.discovery.freshness.status is ListStatus.ASSUMED
     for _ in range(4):
         _, client = scene.ask()
         scene.loop.until(lambda client=client: scene.step() or client.pull())
@@ -285,16 +285,16 @@
     freshness, called = ListFreshness(), []
     freshness.replace()
     freshness.confirm()
-    assert freshness.usable and freshness.standing is Standing.GIVEN
+    assert freshness.usable and freshness.status is ListStatus.GIVEN
     freshness.begin(100, 0.0)
     assert not freshness.usable and not freshness.call_failed(100 + START_PATIENCE - 1)
     freshness.when_usable(lambda: called.append(1))
     assert freshness.next_call(100 + 2 * START_PATIENCE) == 100 + START_PATIENCE
     assert not called and freshness.call_failed(100 + START_PATIENCE) and called == [1]
-    assert freshness.standing is Standing.ASSUMED and not freshness.call_failed(200 + START_PATIENCE)
+    assert freshness.status is ListStatus.ASSUMED and not freshness.call_failed(200 + START_PATIENCE)
     assert freshness.next_call(300 + START_PATIENCE) == 300 + START_PATIENCE
     freshness.confirm()
     freshness.when_usable(lambda: called.append(2))
-    assert called == [1, 2] and freshness.standing is Standing.CONFIRMED
+    assert called == [1, 2] and freshness.status is ListStatus.CONFIRMED
     freshness.replace()
     assert not freshness.usable
