--- a/pulleyroute/net/call_slots.py
+++ b/pulleyroute/net/call_slots.py
@@ -1,28 +1,29 @@
-"""When one of many callers of the same server calls while that server is away: in its own slot of a period.
+"""Schedules the retries of many callers of one unavailable server: each caller has its own slot of a period.
 
-At the server's return the calls then come evenly, no faster than the period needs. Random pauses bunch: of
-200 callers that draw up to 2 s, some 200 a second come in the first moment. The slots hang on the machines'
-common clock and the callers' numbers alone, so that nobody has to talk. Pure: no clock, no I/O.
+When the server returns, the calls arrive evenly, no faster than the period requires. Random pauses cluster:
+of 200 callers that draw pauses of up to 2 s, some arrive at a rate of 200 a second in the first moment. The
+slots depend only on the machines' common clock and the callers' numbers, so the callers need no coordination.
+Pure: no clock, no I/O.
 """
 
 from __future__ import annotations
 
-SLOT_USED = 0.5  # the share of its slot in which a caller calls: clocks differ a little
+SLOT_USED = 0.5  # the fraction of its slot in which a caller calls, as clocks differ slightly
 
 
 class CallSlots:
-    """The slots of one caller. Times are whole microseconds, of any clock that the callers share."""
+    """The slots of one caller. Times are whole microseconds, on any clock that the callers share."""
 
-    __slots__ = ("_begin", "_width", "period")
+    __slots__ = ("_offset", "_width", "period")
 
     def __init__(self, period: int, number: int, callers: int) -> None:
-        """`number`: this caller's among all, from 0; one beyond `callers` shares another's slot."""
+        """`number`: this caller's index, from 0; an index from `callers` on shares another caller's slot."""
         callers = max(1, callers)
         self.period = period
         self._width = period / callers
-        self._begin = int(number % callers * self._width)
+        self._offset = int(number % callers * self._width)
 
     def next(self, now: int, draw: float) -> int:
-        """The first time after `now` to call at; `draw` is a random number from 0 to 1."""
-        place = self._begin + int(draw * SLOT_USED * self._width)
-        return now + ((place - now) % self.period or self.period)
+        """Return the first time after `now` at which to call; `draw` is a random number from 0 to 1."""
+        position = self._offset + int(draw * SLOT_USED * self._width)
+        return now + ((position - now) % self.period or self.period)
--- a/pulleyroute/net/discovery.py
+++ b/pulleyroute/net/discovery.py
@@ -1,10 +1,11 @@
-"""The discovery client: the list of instances, as this dispatcher was told it, and how old that is.
-
-It keeps a watch open from the start on, and opens it anew whenever it ends or falls silent, so that what
-discovery has to tell is heard in time. Where the list is asked for, one discovery serves the whole fleet, and
-calls are spread by the fleet's size; where it is pushed, the address is that of an agent beside this process,
-which answers at no cost. The decisions hear `FAILED` once when discovery falls silent, and the next news, be
-it empty, when it speaks again.
+"""The discovery client: fetches and watches the list of instances, and tracks how current the list is.
+
+The client opens a watch when the process starts and reopens it whenever it ends or stops delivering lines, so
+that changes arrive within the protocol's time limit. With a list on request, one discovery service serves the
+whole fleet, and calls to it are spread according to the number of dispatchers. With a pushed list, the
+address is that of an agent beside this process, and calls to it cost next to nothing. When discovery stops
+answering, the decision logic receives `FAILED` once; when discovery answers again, it receives the next
+update, even if that is empty.
 """
 
 from __future__ import annotations
@@ -28,15 +29,16 @@
 from pulleyroute.net.loop import Coroutine, Loop, Task, Wait
 
 PATH = b"/api/targets"
-MOVE_TIME = 4_000_000  # after a move, calls that fail are tried again for so long before the module is told
-MOVE_PAUSE = 500_000  # the longest pause between two of them
-BACK_TIME = 6_000_000  # lists older than the one held are passed over for so long, then held to be the truth
+# Times are in microseconds.
+ADDRESS_CHANGE_GRACE = 4_000_000  # failures this soon after a change of address are retried, not reported
+ADDRESS_CHANGE_PAUSE = 500_000  # upper limit of the pause between these retries
+OLDER_VERSION_GRACE = 6_000_000  # older versions are ignored for this long, then taken for a new numbering
 
 _FAILURES = (Broken, Crowded, Late, Malformed, ValueError, RecursionError)
 
 
 class DiscoveryClient:
-    """Owns the list, its version and the calls to discovery; tells each change as a `WorkerList`."""
+    """Owns the list, its version and the calls to discovery; reports each change as a `WorkerList`."""
 
     def __init__(
         self,
@@ -47,106 +49,107 @@
         epoch: int,
         seed: int = 0,
     ) -> None:
+        """`epoch`: Unix time in microseconds when the loop's clock was at 0."""
         self._loop = loop
         self._pool = pool
         self._discovery = discovery
         self._random = Random(seed)
         self._pacing = CallPacing(settings, epoch, self._random)
-        self._open_since: int | None = None  # of a watch: when its head came
-        self._deaf = False  # the watch has failed, and nothing has been heard since
-        self._back_since: int | None = None  # since when discovery has told of older versions only
-        self._moved = False  # since the whole list was last told: the version is of another address
-        self._patient_until = 0  # a failure before this is not told but tried again
+        self._watch_opened_at: int | None = None  # when the response head of the current watch arrived
+        self._failure_reported = False  # the watch has failed, and discovery has sent nothing since
+        self._older_since: int | None = None  # since when discovery has sent only older versions
+        self._needs_full_list = False  # the current version is from another address or an earlier numbering
+        self._retry_silently_until = 0  # failures before this time are retried without a report
         self._watch: Task | None = None
         self.list = InstanceList(settings, epoch)
         self.freshness = ListFreshness()
-        self.on_update: Callable[[WorkerList], None] = lambda news: None
+        self.on_update: Callable[[WorkerList], None] = lambda update: None
 
     def member(self, instance: WorkerId) -> Member | None:
-        """What the list says of an instance; None for one that it never named."""
+        """Return the list's entry for an instance, or None if the list has never named it."""
         return self.list.get(instance)
 
     def active(self, instance: WorkerId) -> bool:
-        """Whether new work may go there, as the list says."""
+        """Whether the list allows new work to be sent to the instance."""
         member = self.list.get(instance)
         return member is not None and member.active
 
     def incarnation(self, instance: WorkerId) -> int:
-        """When the listed process of it started, as the loop's clock; 0 for long ago."""
+        """Return when the listed process of the instance started, on the loop's clock; 0 if long ago or unknown."""
         return self.list.incarnation(instance)
 
     def adopt(self, settings: Settings) -> Settings:
-        """Other settings, with their zones and kinds in the list's numbers."""
+        """Apply new settings; return them with zones and kinds replaced by the list's own numbers."""
         self._pacing.adopt(settings)
         return self.list.renumber(settings)
 
     @property
     def version(self) -> int:
-        """Of the list, as discovery counts."""
+        """The list's version as numbered by discovery."""
         return self.list.version
 
     def entries(self) -> list[dict[str, Any]]:
-        """The list in discovery's form."""
+        """Return the list in discovery's form."""
         return self.list.entries()
 
     @property
     def size(self) -> int:
-        """How many instances the list names."""
+        """The number of instances in the list."""
         return self.list.size
 
     def load_known(self, known: Any, confirmed: bool = False) -> None:
-        """Take a list that came otherwise than from discovery; raises ValueError if it is malformed.
+        """Load a list from a source other than discovery; raises ValueError if it is malformed.
 
-        `confirmed`: the process before this one may use it, and so may this one.
+        `confirmed`: the previous process was allowed to use this list, so this process may use it as well.
         """
-        news = self.list.apply(known, cached=True)
+        update = self.list.apply(known, cached=True)
         self.freshness.replace()
-        self.on_update(news)
+        self.on_update(update)
         if confirmed:
             self.freshness.confirm()
         if self._watch is not None:
-            self._open()  # from this list's version: it may be older than what the watch has told
+            self._restart_watch()  # from this list's version, which may be older than the watch's last one
 
     # Calls to discovery
 
     def watch(self, on: bool) -> None:
-        """Keep a watch open from now on, or cease. One that is open, or is being opened, goes on as it is."""
+        """Keep a watch open from now on, or close it. A watch that is open or being opened stays as it is."""
         if not on or self._watch is None:
-            self._open(on)
+            self._restart_watch(on)
 
-    def _open(self, on: bool = True, start: int = 0) -> None:
+    def _restart_watch(self, on: bool = True, delay: int = 0) -> None:
         if self._watch is not None:
             self._watch.cancel()
             self._watch = None
         if on:
-            # Kept before it runs: it may fail, and report, at once.
-            self._watch = Task(self._loop, self._watching(start), "watch")
+            # The task is stored before it starts, because it may fail and report the failure immediately.
+            self._watch = Task(self._loop, self._run_watch(delay), "watch")
             self._watch.start()
 
     def begin(self) -> None:
-        """A process begins: open the watch, where one discovery serves all not all of them at once.
+        """Open the watch of a new process, delayed at random where the whole fleet shares one discovery.
 
-        Until discovery has spoken, the list that this process was handed is not used: see `ListFreshness`.
+        Until discovery answers, the process does not use the list that it was given: see `ListFreshness`.
         """
         self.freshness.begin(self._loop.now(), self._random.random())
-        self._open(start=self._pacing.first_pause())
+        self._restart_watch(delay=self._pacing.first_pause())
 
     def set_address(self, discovery: tuple[str, int]) -> None:
-        """Discovery is at another address now: take the whole list there, then watch it."""
+        """Switch to another discovery address: fetch the full list there, then watch it."""
         if discovery == self._discovery:
             return
         self._discovery = discovery
-        self._moved = True
-        self._patient_until = self._loop.now() + MOVE_TIME
-        self._pacing.moved()
-        self._open()
+        self._needs_full_list = True
+        self._retry_silently_until = self._loop.now() + ADDRESS_CHANGE_GRACE
+        self._pacing.address_changed()
+        self._restart_watch()
 
     def fetch(self) -> None:
-        """Ask for the whole list once."""
-        self._loop.spawn(self._fetching(), "fetch")
+        """Fetch the full list once."""
+        self._loop.spawn(self._run_fetch(), "fetch")
 
-    def _failed(self, what: str, why: object) -> None:
-        logger.bind(event="discovery.failed", call=what).warning("discovery: {} failed: {}", what, why)
+    def _report_failure(self, call: str, reason: object) -> None:
+        logger.bind(event="discovery.failed", call=call).warning("discovery: {} failed: {}", call, reason)
         self.on_update(WorkerList(self.version, ListKind.FAILED, []))
 
     def _call(self, target: bytes) -> Coroutine[Stream]:
@@ -163,70 +166,71 @@
             raise
         return stream
 
-    def _whole(self) -> Coroutine[WorkerList]:
-        """Ask for the whole list and take it."""
-        asked = self._discovery
+    def _fetch_full_list(self) -> Coroutine[WorkerList]:
+        """Fetch the full list and apply it."""
+        address = self._discovery
         stream = yield from self._call(PATH)
         try:
             answer = yield from stream.response(self._loop.now() + self._pacing.answer_timeout, LINE_LIMIT)
             if answer.status != 200:
                 raise Broken(f"status {answer.status}")
-            if asked != self._discovery:
-                # An old address's list and version mean nothing at the new one.
-                raise Broken("discovery has moved")
+            if address != self._discovery:
+                # The list and version of the previous address are not valid at the new one.
+                raise Broken("discovery's address changed during the call")
             return self.list.apply(json.loads(answer.body), cached=False)
         finally:
             stream.close()
 
-    def _fetching(self) -> Coroutine[None]:
+    def _run_fetch(self) -> Coroutine[None]:
         try:
-            news = yield from self._whole()
+            update = yield from self._fetch_full_list()
         except _FAILURES as exc:
-            self._failed("fetch", str(exc) or "no answer in time")
+            self._report_failure("fetch", str(exc) or "no answer within the time limit")
             return
-        self._confirmed(news)
+        self._confirm(update)
 
-    def _watching(self, start: int) -> Coroutine[None]:
-        if start:
-            yield Wait(until=self._loop.now() + start)
+    def _run_watch(self, delay: int) -> Coroutine[None]:
+        if delay:
+            yield Wait(until=self._loop.now() + delay)
         while True:
-            called, self._open_since = self._loop.now(), None
+            called_at, self._watch_opened_at = self._loop.now(), None
             try:
-                if self._moved:
-                    # Versions of the old address mean nothing here: changes since one might leave out most.
-                    news = yield from self._whole()
-                    self._moved = False
-                    self._back_since = None
-                    self._confirmed(news)
+                if self._needs_full_list:
+                    # Versions are not comparable across addresses: the changes since the previous address's
+                    # version could omit most of the list.
+                    update = yield from self._fetch_full_list()
+                    self._needs_full_list = False
+                    self._older_since = None
+                    self._confirm(update)
                 yield from self._read_watch()
             except _FAILURES as exc:
-                why = str(exc) or "no line in time"
+                reason = str(exc) or "no line within the time limit"
                 if self.freshness.call_failed(self._loop.now()):
                     logger.bind(event="discovery.unreachable").warning(
-                        "discovery: not reached since the start, the configuration's list is used: {}", why
+                        "discovery: unreachable since the start, using the configured list: {}", reason
                     )
-                if self._loop.now() < self._patient_until:
-                    # The longer pauses would pass the time limit after a move.
-                    logger.info("discovery: {}:{} failed: {}", *self._discovery, why)
-                    yield Wait(until=self._loop.now() + int(self._random.random() * MOVE_PAUSE))
+                if self._loop.now() < self._retry_silently_until:
+                    # The regular pauses would exceed the time allowed for a change of address.
+                    logger.info("discovery: {}:{} failed: {}", *self._discovery, reason)
+                    yield Wait(until=self._loop.now() + int(self._random.random() * ADDRESS_CHANGE_PAUSE))
                     continue
-                yield from self._wait_before_reconnect(called, isinstance(exc, Late), why)
-
-    def _wait_before_reconnect(self, called: int, late: bool, why: str) -> Coroutine[None]:
-        """The call that began then has failed, or its watch has ended: the pause before the next one."""
-        since, now = self._open_since, self._loop.now()
-        if not self._deaf:
-            # A discovery that is down is told of once, and once more when it speaks again.
-            self._deaf = True
-            self._failed("watch", why)
-        if since is not None:
-            pause = self._pacing.after_watch(now, now - since, late)
+                yield from self._wait_before_reconnect(called_at, isinstance(exc, Late), reason)
+
+    def _wait_before_reconnect(self, called_at: int, timed_out: bool, reason: str) -> Coroutine[None]:
+        """Report the failed call, or the watch that ended, and pause before the next call."""
+        opened_at, now = self._watch_opened_at, self._loop.now()
+        if not self._failure_reported:
+            # An outage is reported once when it begins; the next update reports its end.
+            self._failure_reported = True
+            self._report_failure("watch", reason)
+        if opened_at is not None:
+            pause = self._pacing.after_watch(now, now - opened_at, timed_out)
         else:
-            pause = self._pacing.after_failure(now, now - called)
+            pause = self._pacing.after_failure(now, now - called_at)
         yield Wait(until=self.freshness.next_call(now + pause))
 
     def _read_watch(self) -> Coroutine[None]:
-        """Tell of changes until the watch breaks."""
+        """Open a watch and apply its lines until it breaks."""
         stream = yield from self._call(b"%s?watch=1&from=%d" % (PATH, self.version))
         try:
             answer = yield from stream.answer_head(self._loop.now() + self._pacing.answer_timeout)
@@ -235,62 +239,66 @@
             logger.bind(event="discovery.watching").info(
                 "discovery: watching {}:{} from version {}", *self._discovery, self.version
             )
-            splitter, heard = JsonLineSplitter(), self._loop.now()
-            self._open_since = heard
+            splitter, last_line_at = JsonLineSplitter(), self._loop.now()
+            self._watch_opened_at = last_line_at
             self._pacing.opened()
             while True:
-                # Each line has to be whole so long after the one before: a discovery that went silent, or one
-                # that trickles, would else hold the watch for ever.
-                event = yield from stream.event(heard + WATCH_TIMEOUT)
+                # The time limit applies from one complete line to the next. Without it, a discovery that
+                # falls silent, or sends a few bytes at a time, would keep the watch open for ever.
+                event = yield from stream.event(last_line_at + WATCH_TIMEOUT)
                 if not isinstance(event, h11.Data):
-                    raise Broken("the watch ended")
+                    raise Broken("discovery closed the watch")
                 for line in splitter.feed(bytes(event.data)):
-                    heard = self._loop.now()
+                    last_line_at = self._loop.now()
                     self._read_line(line)
         finally:
             stream.close()
 
     def _read_line(self, line: bytes) -> None:
-        """One line of a watch, empty where nothing has changed; raises ValueError if it is malformed."""
+        """Apply one line of a watch, empty if nothing has changed; raises ValueError if it is malformed."""
         data = json.loads(line) if line else None
         if data is None:
-            self._unchanged()
-        elif self._older(data):
-            self._news(self.list.apply(self.list.departures(data), cached=False))
+            self._confirm_unchanged()
+        elif self._is_older(data):
+            self._notify(self.list.apply(self.list.departures(data), cached=False))
         else:
-            self._confirmed(self.list.apply(data, cached=False))
+            self._confirm(self.list.apply(data, cached=False))
 
-    def _unchanged(self) -> None:
-        """Nothing has changed since the last line; the decisions hear so if they were told of a failure."""
-        if self._deaf:
-            self._news(WorkerList(self.version, ListKind.DELTA, []))
+    def _confirm_unchanged(self) -> None:
+        """Note that nothing has changed; after a reported failure, send an empty update to report its end."""
+        if self._failure_reported:
+            self._notify(WorkerList(self.version, ListKind.DELTA, []))
         self.freshness.confirm()
 
-    def _confirmed(self, news: WorkerList) -> None:
-        """The list as discovery has it now: told first, as what has waited for it is decided by it."""
-        self._news(news)
+    def _confirm(self, update: WorkerList) -> None:
+        """Report an update from discovery, then confirm the list.
+
+        In this order, because requests that wait for the confirmation are decided by the updated list.
+        """
+        self._notify(update)
         self.freshness.confirm()
 
-    def _news(self, news: WorkerList) -> None:
-        self._deaf = False
-        self.on_update(news)
+    def _notify(self, update: WorkerList) -> None:
+        self._failure_reported = False
+        self.on_update(update)
 
-    def _older(self, data: Any) -> bool:
-        """Whether a list is older than the one held, and so passed over.
+    def _is_older(self, data: Any) -> bool:
+        """Whether a list is older than the current one and is therefore ignored.
 
-        A discovery or agent that comes back with what it once saved would put back to work what has been told
-        of as leaving. One that goes on so has lost its versions: then all of its list is taken as it stands.
+        A discovery or agent that restarts from saved data would reactivate instances already reported as
+        leaving. If it continues to send older versions, it has lost its version numbers, and its full list is
+        then accepted as it is.
         """
         version = data.get("revision") if isinstance(data, dict) else None
         if not isinstance(version, int) or version >= self.version:
-            self._back_since = None
+            self._older_since = None
             return False
-        if self._back_since is None:
-            self._back_since = self._loop.now()
+        if self._older_since is None:
+            self._older_since = self._loop.now()
             logger.bind(event="discovery.older", version=version).warning(
-                "discovery: version {} after {} is passed over", version, self.version
+                "discovery: ignoring version {}, which is older than version {}", version, self.version
             )
-        elif self._loop.now() - self._back_since >= BACK_TIME:
-            self._moved = True
-            raise Broken("versions have begun anew")
+        elif self._loop.now() - self._older_since >= OLDER_VERSION_GRACE:
+            self._needs_full_list = True
+            raise Broken("discovery has restarted its version numbers")
         return True
--- a/pulleyroute/net/json_lines.py
+++ b/pulleyroute/net/json_lines.py
@@ -1,4 +1,4 @@
-"""Splits a stream of JSON objects, one a line or indented over several, into whole ones. No I/O."""
+"""Splits a stream of JSON objects, each on one line or indented over several, into objects. No I/O."""
 
 from __future__ import annotations
 
@@ -7,42 +7,43 @@
 
 from pulleyroute.net.http import Broken
 
-LINE_LIMIT = 4 * 1024 * 1024  # bytes of an object: 1,024 entries of 4 KiB; what is held grows with what comes
+# Maximum size of an object in bytes: 1,024 entries of 4 KiB. The buffer grows only as data arrives.
+LINE_LIMIT = 4 * 1024 * 1024
 
 _STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
 
 
 class JsonLineSplitter:
-    """Cuts what a watch brings into whole lines: empty ones, or JSON objects, which may be indented."""
+    """Splits the data of a watch into empty lines and JSON objects, which may span several lines."""
 
     def __init__(self) -> None:
-        self._rest = bytearray()  # of a line that has not ended
-        self._held = bytearray()  # of an object that has begun: its lines, each with its end
+        self._partial_line = bytearray()
+        self._partial_object = bytearray()  # complete lines of an unfinished object, with their line ends
         self._depth = 0
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The objects and empty lines that are whole now; raises Broken where one is too long."""
-        self._rest += data  # in place: a long line would else be copied with each part of it
+        """Yield the objects and empty lines completed by `data`; raises Broken if an object is too long."""
+        self._partial_line += data  # in place: otherwise a long line would be copied with each part of it
         lines: list[bytes] = []
         if b"\n" in data:
-            *lines, rest = bytes(self._rest).split(b"\n")
-            self._rest = bytearray(rest)
+            *lines, rest = bytes(self._partial_line).split(b"\n")
+            self._partial_line = bytearray(rest)
         for line in lines:
             self._depth += _nesting(line)
-            self._held += line + b"\n"
-            if self._depth <= 0 or len(self._held) > LINE_LIMIT:
-                yield self._take()
-        if len(self._rest) + len(self._held) > LINE_LIMIT:
-            raise Broken("an object is too long")
-
-    def _take(self) -> bytes:
-        whole = bytes(self._held).strip()
-        self._held.clear()
+            self._partial_object += line + b"\n"
+            if self._depth <= 0 or len(self._partial_object) > LINE_LIMIT:
+                yield self._take_object()
+        if len(self._partial_line) + len(self._partial_object) > LINE_LIMIT:
+            raise Broken(f"a JSON object exceeds {LINE_LIMIT} bytes")
+
+    def _take_object(self) -> bytes:
+        whole = bytes(self._partial_object).strip()
+        self._partial_object.clear()
         self._depth = 0
         return whole
 
 
 def _nesting(line: bytes) -> int:
-    """By how many brackets a line opens more than it closes, strings aside."""
-    bare = _STRING.sub(b"", line)
-    return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
+    """Return how many more brackets a line opens than it closes, not counting those in strings."""
+    unquoted = _STRING.sub(b"", line)
+    return unquoted.count(b"{") + unquoted.count(b"[") - unquoted.count(b"}") - unquoted.count(b"]")
--- a/pulleyroute/net/list_freshness.py
+++ b/pulleyroute/net/list_freshness.py
@@ -1,13 +1,13 @@
-"""Whether the list of instances may be used: has discovery spoken for it in the life of this process?
+"""Tracks whether the list of instances may be used, that is, whether discovery has confirmed it.
 
-A list that a process was handed (by its configuration, or by the process before it) says who may exist, not
-who may get work: an instance in it may have begun to leave since. Discovery's protocol holds every dispatcher
-to a change 6 s after it, a new process from its first moment. So a new process uses no such list before the
-first message of discovery, unless discovery can't be reached. No I/O, no clock: times are microseconds of the
-caller's clock.
+A list that a process receives from its configuration or from the previous process names instances that may
+exist, not instances that may receive work: one of them may have started to leave in the meantime. Discovery's
+protocol requires every dispatcher to follow a change within 6 s, a new process from its first moment on. A
+new process therefore does not use such a list before the first message of discovery, unless discovery is
+unreachable. No I/O, no clock: times are microseconds of the caller's clock.
 
     GIVEN ──begin──▶ UNCONFIRMED ──confirm──▶ CONFIRMED
-    UNCONFIRMED ──call_failed, once the patience is over──▶ ASSUMED ──confirm──▶ CONFIRMED
+    UNCONFIRMED ──call_failed, after the start timeout──▶ ASSUMED ──confirm──▶ CONFIRMED
     CONFIRMED, ASSUMED ──replace──▶ UNCONFIRMED
 """
 
@@ -16,63 +16,63 @@
 from collections.abc import Callable
 from enum import Enum
 
-# A new process waits for discovery so long before its last call. That call ends within another 4 s
-# (`CONNECT_TIME + ANSWER` of the discovery client): a process is ready within the 10 s that it is given.
-START_PATIENCE = 5_500_000
-# Processes that start together make their last calls within this span, the later end being the patience's.
+# How long a new process waits for discovery until its last call. That call ends within another 4 s
+# (`CONNECT_TIMEOUT + ANSWER_TIMEOUT_MAX` of `call_pacing`), so a process is ready within its limit of 10 s.
+START_TIMEOUT = 5_500_000
+# Processes that start together spread their last calls over this time, which ends at the start timeout.
 LAST_CALL_SPREAD = 300_000
 
 
 class ListStatus(Enum):
-    """What the list rests on."""
+    """What the list is based on."""
 
-    GIVEN = "given"  # nothing else is to be asked, as where a configuration spells the list out
-    UNCONFIRMED = "unconfirmed"  # handed over from elsewhere: not to be used yet
-    CONFIRMED = "confirmed"  # discovery has spoken in the life of this process, or of the one before it
-    ASSUMED = "assumed"  # handed over, and used since discovery can't be reached
+    GIVEN = "given"  # there is no other source to ask, as with a list spelled out in the configuration
+    UNCONFIRMED = "unconfirmed"  # received from another source than discovery: not to be used yet
+    CONFIRMED = "confirmed"  # discovery has answered this process, or the previous process
+    ASSUMED = "assumed"  # received from another source, and used because discovery is unreachable
 
 
 class ListFreshness:
-    """Owns the standing of the list, and who waits for it to become usable."""
+    """Owns the status of the list, and the callbacks that wait until the list is usable."""
 
     def __init__(self) -> None:
         self.status = ListStatus.GIVEN
-        self._last_call_at = 0  # the last call before the list is used unconfirmed begins by then
+        self._last_call_at = 0  # latest start of the last call before the list is used unconfirmed
         self._waiting: list[Callable[[], None]] = []
 
     @property
     def usable(self) -> bool:
-        """Whether work may be sent by this list."""
+        """Whether work may be sent according to this list."""
         return self.status is not ListStatus.UNCONFIRMED
 
     def begin(self, now: int, draw: float) -> None:
-        """A process begins, and asks discovery from now on; `draw` is a random number from 0 to 1."""
+        """Start a process that asks discovery from now on; `draw` is a random number from 0 to 1."""
         self.status = ListStatus.UNCONFIRMED
-        self._last_call_at = now + START_PATIENCE - int(draw * LAST_CALL_SPREAD)
+        self._last_call_at = now + START_TIMEOUT - int(draw * LAST_CALL_SPREAD)
 
     def confirm(self) -> None:
-        """Discovery has spoken: the list is what it says."""
+        """Note that discovery has answered, so the list is current."""
         if self.status is not ListStatus.GIVEN:
             self._change(ListStatus.CONFIRMED)
 
     def replace(self) -> None:
-        """Another list from elsewhere is in the place of the one before."""
+        """Note that a list from another source than discovery has replaced the current one."""
         if self.status is not ListStatus.GIVEN:
             self.status = ListStatus.UNCONFIRMED
 
     def call_failed(self, now: int) -> bool:
-        """A call to discovery has failed; whether the list is used unconfirmed from now on."""
+        """Note a failed call to discovery; return whether the list is used unconfirmed from now on."""
         if self.usable or now < self._last_call_at:
             return False
         self._change(ListStatus.ASSUMED)
         return True
 
     def next_call(self, planned: int) -> int:
-        """When the next call is to begin, planned for that time: the last one has to begin in time."""
+        """Return when the next call starts: as planned, or earlier to be in time for the start timeout."""
         return planned if self.usable else min(planned, self._last_call_at)
 
     def when_usable(self, callback: Callable[[], None]) -> None:
-        """Call back once the list may be used: at once if it may be already."""
+        """Run the callback once the list is usable, immediately if it already is."""
         if self.usable:
             callback()
         else:
--- a/tests/net/test_list_age.py
+++ b/tests/net/test_list_age.py
@@ -22,10 +22,10 @@
 def test_all_that_stands_between_a_silence_and_the_next_news_is_within_the_protocols_time():
     t = call_pacing
     for spent in (t.WATCH_TIMEOUT + t.FIRST_PAUSE_LIMIT, t.PAUSE_LIMIT, *range(0, t.PAUSE_LIMIT, 50 * MS)):
-        answer = t.answer_timeout(spent)
+        answer = t.remaining_answer_timeout(spent)
         assert spent + t.CONNECT_TIMEOUT + answer <= t.UPDATE_DEADLINE
         assert t.ANSWER_TIMEOUT_MIN <= answer <= t.ANSWER_TIMEOUT_MAX
-    assert t.answer_timeout(0) == t.ANSWER_TIMEOUT_MAX
+    assert t.remaining_answer_timeout(0) == t.ANSWER_TIMEOUT_MAX
     assert t.WATCH_TIMEOUT >= 2 * SECOND + 500 * MS  # an empty line comes every 2 s
     assert t.WATCH_TIMEOUT >= t.STABLE_WATCH  # so that one that has fallen silent counts as one that stood
 
--- a/tests/net/test_pushed_list.py
+++ b/tests/net/test_pushed_list.py
@@ -145,7 +145,7 @@
         agent.loop.settle()
         agent.loop.skip(SECOND)
     assert agent.ready() == [b"s-1"]
-    assert len([line for line in logged if "passed over" in line]) == 1
+    assert len([line for line in logged if "ignoring version" in line]) == 1
     for _ in range(2):
         peer.send(chunk(b"\n"))
         agent.loop.settle()
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -9,7 +9,7 @@
 from pulleyroute.net.config import load_config
 from pulleyroute.net.handover import Handover
 from pulleyroute.net.lifecycle import Phase
-from pulleyroute.net.list_freshness import START_PATIENCE, ListFreshness, ListStatus
+from pulleyroute.net.list_freshness import START_TIMEOUT, ListFreshness, ListStatus
 from tests.net.scene import INFO, MS, READY, SECOND, TAKEN, Listener, Peer, Scene, StillLoop, callback
 from tests.net.test_discovery import CHUNKS, chunk
 
@@ -217,7 +217,7 @@
             peer.close()
         scene.step()
         assert scene.loop.time - scene.began <= READY_WITHIN
-    assert scene.loop.time - scene.began >= START_PATIENCE - SECOND
+    assert scene.loop.time - scene.began >= START_TIMEOUT - SECOND
     assert scene.parts.discovery.freshness.status is ListStatus.ASSUMED
     for _ in range(4):
         _, client = scene.ask()
@@ -287,12 +287,12 @@
     freshness.confirm()
     assert freshness.usable and freshness.status is ListStatus.GIVEN
     freshness.begin(100, 0.0)
-    assert not freshness.usable and not freshness.call_failed(100 + START_PATIENCE - 1)
+    assert not freshness.usable and not freshness.call_failed(100 + START_TIMEOUT - 1)
     freshness.when_usable(lambda: called.append(1))
-    assert freshness.next_call(100 + 2 * START_PATIENCE) == 100 + START_PATIENCE
-    assert not called and freshness.call_failed(100 + START_PATIENCE) and called == [1]
-    assert freshness.status is ListStatus.ASSUMED and not freshness.call_failed(200 + START_PATIENCE)
-    assert freshness.next_call(300 + START_PATIENCE) == 300 + START_PATIENCE
+    assert freshness.next_call(100 + 2 * START_TIMEOUT) == 100 + START_TIMEOUT
+    assert not called and freshness.call_failed(100 + START_TIMEOUT) and called == [1]
+    assert freshness.status is ListStatus.ASSUMED and not freshness.call_failed(200 + START_TIMEOUT)
+    assert freshness.next_call(300 + START_TIMEOUT) == 300 + START_TIMEOUT
     freshness.confirm()
     freshness.when_usable(lambda: called.append(2))
     assert called == [1, 2] and freshness.status is ListStatus.CONFIRMED
