--- a/pulleyroute/net/discovery.py
+++ b/pulleyroute/net/discovery.py
@@ -75,7 +75,7 @@
         return member is not None and member.active
 
     def incarnation(self, instance: WorkerId) -> int:
-        """Return when the listed process of the instance started, on the loop's clock; 0 if long ago or unknown."""
+        """Return the start time of the listed process, on the loop's clock; 0 for long ago or unknown."""
         return self.list.incarnation(instance)
 
     def adopt(self, settings: Settings) -> Settings:
--- a/pulleyroute/net/instance_list.py
+++ b/pulleyroute/net/instance_list.py
@@ -45,7 +45,7 @@
         return self._members.get(instance)
 
     def incarnation(self, instance: WorkerId) -> int:
-        """Return when the listed process of the instance started, on the loop's clock; 0 if long ago or unknown."""
+        """Return the start time of the listed process, on the loop's clock; 0 for long ago or unknown."""
         member = self._members.get(instance)
         return 0 if member is None else member.started
 
@@ -114,8 +114,8 @@
         if not isinstance(item, dict):
             raise ValueError("a member of the list is not an object")
         name, phase = item.get("id"), item.get("phase")
-        # Looking up a phase that is a list or an object would raise a TypeError and end the watch
-        # permanently.
+        # A lookup of a phase that is a list or an object would raise TypeError, which would end the watch for
+        # good.
         if not isinstance(name, str) or not name or not isinstance(phase, str) or phase not in _PHASES:
             raise ValueError(f"member {name!r} has an invalid name or the unknown phase {phase!r}")
         size, started, cell = item.get("size", 1.0), item.get("up_since_ms", 0), item.get("cell", 0)
@@ -134,7 +134,7 @@
         return entry, parse_address(str(item.get("host_port")))
 
     def _to_loop_clock(self, unix_ms: float) -> int:
-        """Convert Unix milliseconds to the loop's clock; 0 (long ago) stays 0, and no other time becomes 0."""
+        """Convert Unix milliseconds to the loop's clock; 0 (long ago) stays 0, no other time becomes 0."""
         return (int(unix_ms * 1000) - self._epoch or 1) if unix_ms else 0
 
 
