--- a/pulleyroute/net/log.py
+++ b/pulleyroute/net/log.py
@@ -45,33 +45,33 @@
         self._structured = structured
         self._poll = select.poll()
         self._poll.register(fd, select.POLLOUT)
-        self._credit = BURST
+        self._tokens = BURST
         self._at = time.monotonic()
-        self._missed = 0
+        self._dropped = 0
 
     def __call__(self, message: Message) -> None:
         now = time.monotonic()
-        self._credit = min(BURST, self._credit + (now - self._at) * self._rate)
+        self._tokens = min(BURST, self._tokens + (now - self._at) * self._rate)
         self._at = now
-        if self._credit < 1:  # guards against floods
-            self._missed += 1
+        if self._tokens < 1:  # guards against floods
+            self._dropped += 1
             return
         text = str(message).encode(errors="replace")
         if len(text) > LINE_LIMIT - 64:
             text = shortened(text) if self._structured else text[: LINE_LIMIT - 64] + b"\n"
-        if self._missed:
+        if self._dropped:
             left = b'{"left_out": %d}\n' if self._structured else b"(%d lines left out)\n"
-            text = left % self._missed + text
+            text = left % self._dropped + text
         try:
             # Guards against a reader that stands still: a full pipe would stop the whole dispatcher.
             if not self._poll.poll(0):
-                self._missed += 1
+                self._dropped += 1
                 return
             os.write(self._fd, text)
         except OSError:
             return
-        self._credit -= 1
-        self._missed = 0
+        self._tokens -= 1
+        self._dropped = 0
 
 
 def event(name: str, **values: object) -> None:
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -179,9 +179,9 @@
     write = Sink(sink)
     for _ in range(1000):
         write("x" * 1000 + "\n")
-    assert write._missed > 0
+    assert write._dropped > 0
     os.set_blocking(source, False)
     assert os.read(source, 10**6).count(b"\n") <= 201
-    write._credit = 10
+    write._tokens = 10
     write("again\n")
     assert b"lines left out)\nagain" in os.read(source, 10**6)
