--- a/pulleyroute/net/lifecycle.py
+++ b/pulleyroute/net/lifecycle.py
@@ -1,134 +1,143 @@
-"""What the process is doing for its clients: the one state machine of service. No I/O, no clock of its own.
+"""The lifecycle of the process towards its clients, as one state machine. No I/O, no clock of its own.
 
     STARTING ──serve──▶ SERVING
-    STARTING, SERVING ──standby──▶ STANDBY ──active──▶ the phase before (SERVING, if serve came meanwhile)
-    SERVING, STANDBY ──hand──▶ HANDED ──resume──▶ the phase before
+    STARTING, SERVING ──standby──▶ STANDBY ──active──▶ the previous phase (SERVING, if serve came meanwhile)
+    SERVING, STANDBY ──hand_over──▶ HANDED ──resume──▶ the previous phase
     any ──end──▶ ENDING (final)
 
-Readiness, the operators' calls, SIGTERM and the hand-over to another process only move it; whoever owns the
-connections asks it what holds for them. All times are microseconds of the caller's clock.
+Readiness, the admin calls, SIGTERM and the hand-over to another process only change the phase; the owner of
+the connections queries it for what applies to them. All times are microseconds of the caller's clock.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-# On standby, counted from the call. The front asks ten times a second and sends nobody 0.2 s after a no.
-STANDBY_IDLE = 1_000_000  # idle connections close: whoever was on one is sent elsewhere by now
-STANDBY_REFUSE = 1_700_000  # what comes now is refused: a job may not be younger than 2 s at 4 s
-STANDBY_CUT = 3_000_000  # what is not a whole job yet is ended
+# On standby, counted from the call. The load balancer in front polls readiness ten times a second, and sends
+# no more clients 0.2 s after a negative answer.
+STANDBY_IDLE = 1_000_000  # idle connections close: by now their clients are sent to other dispatchers
+STANDBY_REFUSE = 1_700_000  # new jobs are refused, because no open job may be younger than 2 s at 4 s
+STANDBY_ABORT = 3_000_000  # connections without a complete request are ended
 # After SIGTERM.
-STOP_QUIET = 700_000  # connections stop coming, and no exit before this
-STOP_LONGEST = 3_000_000  # SIGKILL comes that much later, or the longest give-up time where that is shorter
-STOP_CLOSE = 0.5  # the kept connections end when this share of the time until SIGKILL is over
-STOP_MARGIN = 150_000  # and so long before it all that came late is answered
-# Where another process has taken over, to which the connections move.
-HANDED_IDLE = 1_000_000  # those that could not be moved end
-HANDED_QUIET = 100_000  # after SIGTERM: the process may leave
+STOP_MIN_WAIT = 700_000  # new connections have ceased; the process does not exit earlier
+STOP_KILL_LIMIT = 3_000_000  # from then to SIGKILL, or the longest give-up time if that is shorter
+STOP_CLOSE_FRACTION = 0.5  # persistent connections close after this fraction of the time until SIGKILL
+STOP_ANSWER_MARGIN = 150_000  # late requests are answered this long before SIGKILL
+# After another process has taken over, to which the connections move.
+HANDED_IDLE = 1_000_000  # connections that could not be moved close
+HANDED_MIN_WAIT = 100_000  # the process may exit this long after SIGTERM
 
 NEVER = 2**62
 
 
 class Phase(Enum):
+    """What the process does for its clients; the values are part of the admin listener's answers."""
+
     STARTING = "starting"
     SERVING = "serving"
     STANDBY = "standby"
-    HANDED = "handed"  # another process serves, this one finishes
+    HANDED = "handed"  # another process serves, and this one finishes its open work
     ENDING = "ending"
 
 
-ACCEPTING_PHASES = (Phase.SERVING, Phase.STANDBY)  # whoever comes is answered, wanted or not
+ACCEPTING_PHASES = (Phase.SERVING, Phase.STANDBY)  # every client is answered, even if new ones are not wanted
 
 
 class Lifecycle:
-    """Owns the phase and the times from which connections are let go; NEVER where they are not."""
+    """Owns the phase, and the times from which connections are closed; NEVER if they stay open."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
-        self._before = Phase.STARTING  # the phase that was handed over
-        self._after_standby = Phase.SERVING
+        self._phase_before_hand_over = Phase.STARTING
+        self._phase_after_standby = Phase.SERVING
         self.handed_over = False
-        self._keep()
+        self._clear_deadlines()
 
-    def _keep(self) -> None:
-        self.close_from = NEVER  # an answer closes its connection
+    def _clear_deadlines(self) -> None:
+        self.close_from = NEVER  # each answer closes its connection
         self.close_idle_from = NEVER  # idle connections close
-        self.refuse_from = NEVER  # a job that comes now is refused
-        self.abort_incomplete_from = NEVER  # a message that is not whole yet is given up
-        self.exit_from = NEVER  # no new connection is expected any more: the process may leave
-        # A job that comes from the first on, after SIGTERM, has to be answered by the second.
-        self.late_from = self.late_until = NEVER
+        self.refuse_from = NEVER  # new jobs are refused
+        self.abort_incomplete_from = NEVER  # requests that are still incomplete are given up
+        self.exit_from = NEVER  # no new connection is expected, and the process may exit
+        # After SIGTERM, jobs that arrive from the first time on must be answered by the second.
+        self.late_jobs_from = self.late_jobs_until = NEVER
 
-    # What moves it
+    # Transitions
 
     def serve(self) -> None:
-        """Clients may come."""
-        self._after_standby = Phase.SERVING
+        """Accept clients."""
+        self._phase_after_standby = Phase.SERVING
         if self.phase is Phase.STARTING:
             self.phase = Phase.SERVING
 
     def standby(self, now: int) -> bool:
-        """Drain, and stay; whether anything changed."""
+        """Drain, but keep the process running; return whether anything changed."""
         if self.phase not in (Phase.STARTING, Phase.SERVING):
             return False
-        self._after_standby = self.phase
+        self._phase_after_standby = self.phase
         self.phase = Phase.STANDBY
         self.close_from = now
         self.close_idle_from = now + STANDBY_IDLE
         self.refuse_from = now + STANDBY_REFUSE
-        self.abort_incomplete_from = now + STANDBY_CUT
+        self.abort_incomplete_from = now + STANDBY_ABORT
         return True
 
     def active(self) -> bool:
-        """Back to work, at any moment of a drain; whether anything changed. A process that ends stays so."""
+        """Return from standby, at any moment of a drain; return whether anything changed.
+
+        A process that is ending continues to end.
+        """
         if self.phase is not Phase.STANDBY:
             return False
-        self.phase = self._after_standby
-        self._keep()
+        self.phase = self._phase_after_standby
+        self._clear_deadlines()
         return True
 
     def hand_over(self, now: int) -> bool:
-        """Another process takes the clients from here on; whether anything changed."""
+        """Leave the clients to another process from now on; return whether anything changed."""
         if self.handed_over:
             return False
         self.handed_over = True
-        if self.phase is Phase.ENDING:  # SIGTERM was faster than the word of the other process
-            self.exit_from = min(self.exit_from, now + HANDED_QUIET)
+        if self.phase is Phase.ENDING:  # SIGTERM arrived before the other process's message
+            self.exit_from = min(self.exit_from, now + HANDED_MIN_WAIT)
         else:
-            self._before, self.phase = self.phase, Phase.HANDED
+            self._phase_before_hand_over, self.phase = self.phase, Phase.HANDED
         self.close_from = min(self.close_from, now + HANDED_IDLE)
         self.close_idle_from = min(self.close_idle_from, now + HANDED_IDLE)
         return True
 
     def resume(self) -> bool:
-        """The other process is gone before this one was told to end; whether this one takes clients again."""
+        """Undo a hand-over because the other process is gone; return whether this process serves again.
+
+        It does not if it has already been asked to end.
+        """
         if self.phase is not Phase.HANDED:
             return False
-        self.phase, self.handed_over = self._before, False
-        self._keep()
+        self.phase, self.handed_over = self._phase_before_hand_over, False
+        self._clear_deadlines()
         return True
 
     def end(self, now: int, longest: int) -> bool:
-        """Answer what is owed and leave; whether anything changed.
+        """Answer all open requests, then exit; return whether anything changed.
 
         `longest` is the longest give-up time of a job.
         """
         if self.phase is Phase.ENDING:
             return False
         self.phase = Phase.ENDING
-        kill = now + STOP_QUIET + min(STOP_LONGEST, longest)
-        # Guards the clients whose dispatchers restart one after another: closed at once, they would find none
-        # while two are away; closed late, they have no time to find the next one before it goes too.
-        # Once another process has taken over there is always one.
-        close = max(now + STOP_QUIET, now + int((kill - now) * STOP_CLOSE))
+        kill = now + STOP_MIN_WAIT + min(STOP_KILL_LIMIT, longest)
+        # Dispatchers may restart one after another. If connections closed at once, clients would find no
+        # dispatcher while two are away; if they closed late, clients would have no time to find the next
+        # dispatcher before it restarts too. After a hand-over there is always a process that serves.
+        close = max(now + STOP_MIN_WAIT, now + int((kill - now) * STOP_CLOSE_FRACTION))
         self.close_from = min(self.close_from, close)
         self.close_idle_from = min(self.close_idle_from, close)
-        self.exit_from = now + (HANDED_QUIET if self.handed_over else STOP_QUIET)
-        self.late_from = now + STOP_QUIET - STOP_MARGIN
-        self.late_until = kill - STOP_MARGIN
+        self.exit_from = now + (HANDED_MIN_WAIT if self.handed_over else STOP_MIN_WAIT)
+        self.late_jobs_from = now + STOP_MIN_WAIT - STOP_ANSWER_MARGIN
+        self.late_jobs_until = kill - STOP_ANSWER_MARGIN
         return True
 
-    # What holds
+    # Queries
 
     @property
     def ready(self) -> bool:
@@ -137,27 +146,27 @@
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether this process answers who comes."""
+        """Whether this process answers clients that connect."""
         return self.phase in ACCEPTING_PHASES
 
     def closing(self, now: int) -> bool:
-        """Whether an answer that leaves now closes its connection."""
+        """Return whether an answer sent now closes its connection."""
         return now >= self.close_from
 
     def refuses(self, now: int) -> bool:
-        """Whether a job that comes now is refused unseen."""
-        return now >= min(self.refuse_from, self.late_until)
+        """Return whether a job that arrives now is refused without being considered."""
+        return now >= min(self.refuse_from, self.late_jobs_until)
 
     def answer_by(self, now: int) -> int | None:
-        """When a job that comes now has to be answered at the latest; None if its own time decides."""
-        return self.late_until if now >= self.late_from else None
+        """Return when a job that arrives now must be answered; None if only its own deadline applies."""
+        return self.late_jobs_until if now >= self.late_jobs_from else None
 
     def may_exit(self, now: int) -> bool:
-        """Whether the process may leave once nothing is owed."""
+        """Return whether the process may exit once all requests are answered."""
         return now >= self.exit_from
 
     def pending_deadlines(self, now: int) -> list[int]:
-        """The times to come at which connections have to be looked at again."""
+        """Return the future times at which the connections must be checked again."""
         return [
             at
             for at in (self.close_idle_from, self.abort_incomplete_from, self.exit_from)
