--- a/pulleyroute/net/metrics.py
+++ b/pulleyroute/net/metrics.py
@@ -1,7 +1,7 @@
-"""The operators' metrics: counts kept where things happen, and their rendering as statsd lines.
+"""Metrics for operators: counters, and their rendering with the gauges as statsd lines.
 
-Counts begin at 0 with the process and never fall. A class that a new configuration drops keeps its counts.
-What is a state is not kept here but asked of its owner at each rendering, as a `Gauges`.
+Counters start at 0 with the process and never decrease. A class that a new configuration removes keeps its
+counters. Gauges are not stored here: each rendering takes a `Gauges` with the current values of their owners.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 PREFIX = "app."
 REJECTION_STATUSES = (429, 503)
-# Guards the form: a class may be named by what ends a name, a value or a line.
-_UNFIT = re.compile(r"[^A-Za-z0-9_-]")
+# Class names may contain characters that end a name, a value or a line of statsd; these are replaced.
+_INVALID_IN_NAME = re.compile(r"[^A-Za-z0-9_-]")
 
 
 class JobOutcome(Enum):
-    """How a job ended for its client, by the status that was sent."""
+    """The outcome of a job for its client, by the status of its answer; the values are statsd names."""
 
     ANSWERED = "answered"
     DEFERRED = "deferred"
@@ -26,7 +26,7 @@
 
 
 def outcome_of_status(status: int) -> JobOutcome:
-    """What a final answer of this HTTP status counts as."""
+    """Return the outcome that a final answer with this HTTP status counts as."""
     if status == 200:
         return JobOutcome.ANSWERED
     return JobOutcome.DEFERRED if status in REJECTION_STATUSES else JobOutcome.ERRORED
@@ -34,7 +34,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Gauges:
-    """What is so at the moment: jobs taken and not ended, instances listed, those of them now avoided."""
+    """Current values: open jobs, listed instances, and the listed instances that are avoided.
+
+    The names of the fields are statsd names.
+    """
 
     current: int
     cluster_size: int
@@ -42,30 +45,30 @@
 
 
 class Metrics:
-    """Owns the counts."""
+    """Owns the counters. `sends`, `conf_loaded` and `conf_invalid` are statsd names."""
 
     def __init__(self) -> None:
-        self._ended: dict[str, dict[JobOutcome, int]] = {}
-        self.sends = 0  # attempts whose last byte is with the kernel
-        self.conf_loaded = 0  # files taken at a reload
-        self.conf_invalid = 0  # and files turned down
+        self._outcome_counts: dict[str, dict[JobOutcome, int]] = {}
+        self.sends = 0  # attempts whose last byte the kernel has accepted
+        self.conf_loaded = 0  # configuration files applied at a reload
+        self.conf_invalid = 0  # configuration files rejected at a reload
 
-    def job_ended(self, job_class: str, how: JobOutcome) -> None:
-        """A job's final answer has left, its last byte included."""
-        self.outcome_counts(job_class)[how] += 1
+    def job_ended(self, job_class: str, outcome: JobOutcome) -> None:
+        """Count a job whose final answer has been sent completely."""
+        self.outcome_counts(job_class)[outcome] += 1
 
     def outcome_counts(self, job_class: str) -> dict[JobOutcome, int]:
-        """The counts of a class, by how its jobs ended."""
-        return self._ended.setdefault(job_class, dict.fromkeys(JobOutcome, 0))
+        """Return the counters of a class, by the outcome of its jobs."""
+        return self._outcome_counts.setdefault(job_class, dict.fromkeys(JobOutcome, 0))
 
     def render(self, classes: Iterable[str], gauges: Gauges) -> bytes:
-        """All of them, one a line; the classes in force come though none of their jobs has ended yet."""
+        """Return all metrics, one per line, including `classes` that have not had a job end yet."""
         for name in classes:
             self.outcome_counts(name)
         lines = [
-            f"{how.value}.{_UNFIT.sub('_', name)}:{count}|c"
-            for name, counts in self._ended.items()
-            for how, count in counts.items()
+            f"{outcome.value}.{_INVALID_IN_NAME.sub('_', name)}:{count}|c"
+            for name, counts in self._outcome_counts.items()
+            for outcome, count in counts.items()
         ]
         lines += [f"{name}:{getattr(self, name)}|c" for name in ("sends", "conf_loaded", "conf_invalid")]
         lines += [f"{name}:{getattr(gauges, name)}|g" for name in Gauges.__slots__]
