--- a/pulleyroute/net/config.py
+++ b/pulleyroute/net/config.py
@@ -1,4 +1,4 @@
-"""What the dispatcher is told, at its start and at each reload: config.json and the PROXY_* variables."""
+"""Reads the configuration, config.json and the PROXY_* variables, at the start and at each reload."""
 
 from __future__ import annotations
 
@@ -12,39 +12,43 @@
 from pulleyroute.net.http import parse_address
 from pulleyroute.settings import SettingsError, Shape, lacking, read_settings, shape
 
-SOCKETS = 1024  # where the configuration names no limit
-FEWEST_SOCKETS = 64
-MEMORY_MB = 256  # likewise
-LEAST_MEMORY_MB = 24
+# Limits: the defaults for configurations that name none, and the smallest values allowed.
+DEFAULT_SOCKETS = 1024  # descriptors
+MIN_SOCKETS = 64
+DEFAULT_MEMORY_MB = 256
+MIN_MEMORY_MB = 24
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text is one plain line."""
+    """Raised for an unusable configuration; the message is a single line."""
 
 
 @dataclass(slots=True)
 class Config:
+    """A configuration that has been read and validated."""
+
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
     sockets: int  # descriptors that may be open
     memory_mb: int
-    known: Any  # the list of instances as last held, in discovery's form; None if there is none
+    known: Any  # the last known list of instances, in discovery's form; None if there is none
     settings: Settings
-    management: tuple[str, int] | None  # the admin listener; None for none
-    shape: Shape  # the keys that the file has
+    management: tuple[str, int] | None  # address of the admin listener; None if it is off
+    shape: Shape  # the keys present in the file
 
 
 def load_config(environ: Mapping[str, str], old: Config | None = None) -> Config:
-    """Read the file that PROXY_CONFIG names; the other variables go before what it says.
+    """Read the file named by PROXY_CONFIG; the other variables take precedence over the file's values.
 
-    At a reload, with the configuration in force as `old`, the file's `discovery` goes before the variable,
-    which can't change while the program runs, and the file has to have every key that the one in force has.
+    At a reload, `old` is the configuration in force. The file's `discovery` then takes precedence over the
+    variable, which cannot change while the program runs, and the file must contain every key of `old`. Raises
+    ConfigError if the configuration is unusable.
     """
     path = environ.get("PROXY_CONFIG")
     if not path:
-        raise ConfigError("PROXY_CONFIG is not set: it names the configuration file")
+        raise ConfigError("PROXY_CONFIG is not set; it must name the configuration file")
     try:
         data = json.loads(Path(path).read_bytes())
     except OSError as exc:
@@ -59,47 +63,49 @@
     keys = shape({key: value for key, value in data.items() if key != "known"})
     try:
         if old is not None and (missing := lacking(old.shape, data)) is not None:
-            # Guards against a file that was cut down by mistake: defaults would be put in that nobody wrote.
-            raise SettingsError(f"{missing} is missing, which the configuration in force has")
+            # In a file that was truncated by mistake, defaults would silently replace the missing keys.
+            raise SettingsError(f"{missing} is missing, but is present in the configuration in force")
         settings, _ = read_settings(data.get("settings"))
         return Config(
-            name=_text(environ.get("PROXY_NAME") or data.get("name"), "name"),
-            listen=parse_address(_text(environ.get("PROXY_LISTEN") or data.get("listen"), "listen")),
-            discovery=parse_address(_text(sources[0] or sources[1], "discovery")),
+            name=_require_text(environ.get("PROXY_NAME") or data.get("name"), "name"),
+            listen=parse_address(_require_text(environ.get("PROXY_LISTEN") or data.get("listen"), "listen")),
+            discovery=parse_address(_require_text(sources[0] or sources[1], "discovery")),
             seed=_seed(data.get("seed", 0)),
-            sockets=_limit(data.get("limits"), "sockets", SOCKETS, FEWEST_SOCKETS),
-            memory_mb=_limit(data.get("limits"), "memory_mb", MEMORY_MB, LEAST_MEMORY_MB),
+            sockets=_limit(data.get("limits"), "sockets", DEFAULT_SOCKETS, MIN_SOCKETS),
+            memory_mb=_limit(data.get("limits"), "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB),
             known=data.get("known"),
             settings=settings,
-            management=_address(environ.get("PROXY_MANAGEMENT") or data.get("management"), "management"),
+            management=_optional_address(
+                environ.get("PROXY_MANAGEMENT") or data.get("management"), "management"
+            ),
             shape=keys,
         )
     except (SettingsError, ValueError) as exc:
         raise ConfigError(f"{path}: {exc}") from None
 
 
-def _text(value: object, what: str) -> str:
+def _require_text(value: object, key: str) -> str:
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{what} is missing or not a text")
+        raise ValueError(f"{key} is missing or not a string")
     return value
 
 
-def _address(value: object, what: str) -> tuple[str, int] | None:
-    return None if value is None else parse_address(_text(value, what))
+def _optional_address(value: object, key: str) -> tuple[str, int] | None:
+    return None if value is None else parse_address(_require_text(value, key))
 
 
 def _seed(value: object) -> int:
-    """Hexadecimal digits, or a number."""
+    """Return the seed, given as hexadecimal digits or as a number."""
     if isinstance(value, int):
         return value
     try:
-        return int(_text(value, "seed"), 16)
+        return int(_require_text(value, "seed"), 16)
     except ValueError:
-        raise ValueError(f"seed is {value!r}, not hexadecimal digits") from None
+        raise ValueError(f"seed is {value!r}, not a string of hexadecimal digits") from None
 
 
-def _limit(limits: object, name: str, default: int, least: int) -> int:
+def _limit(limits: object, name: str, default: int, minimum: int) -> int:
     value = limits.get(name, default) if isinstance(limits, dict) else default
-    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < 1e9:
-        raise ValueError(f"limits.{name} is {value!r}, not a number of at least {least}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < 1e9:
+        raise ValueError(f"limits.{name} is {value!r}, not a number of at least {minimum}")
     return int(value)
--- a/pulleyroute/net/log.py
+++ b/pulleyroute/net/log.py
@@ -1,4 +1,4 @@
-"""The log: loguru to standard error, in a way that neither blocks nor floods."""
+"""Logging with loguru to standard error, non-blocking and rate-limited."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 if TYPE_CHECKING:
     from loguru import Message
 
-LINE_LIMIT = select.PIPE_BUF  # a pipe that is writable takes this much without blocking
-RATE = 20.0  # lines a second in the long run
-DEBUG_RATE = 500.0  # the same where debug lines are wanted: each push and probe has its own
-BURST = 200.0
+LINE_LIMIT = select.PIPE_BUF  # bytes that a writable pipe accepts without blocking
+RATE = 20.0  # sustained lines per second
+DEBUG_RATE = 500.0  # with debug lines, of which each push and each probe has its own
+BURST = 200.0  # lines
 FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSS} {level} {message}"
 
 
 def shortened(line: bytes) -> bytes:
-    """A JSON line that is too long for one write, as a shorter one that is still JSON."""
+    """Shorten a JSON line that is too long for one write, keeping it valid JSON."""
     try:
         record = json.loads(line)["record"]
         short = {
@@ -37,7 +37,7 @@
 
 
 class Sink:
-    """Writes lines to a descriptor; counts those that it had to leave out."""
+    """Writes log lines to a descriptor, and counts the lines that it has to drop."""
 
     def __init__(self, fd: int, structured: bool = False, rate: float = RATE) -> None:
         self._fd = fd
@@ -46,24 +46,24 @@
         self._poll = select.poll()
         self._poll.register(fd, select.POLLOUT)
         self._tokens = BURST
-        self._at = time.monotonic()
+        self._refilled_at = time.monotonic()
         self._dropped = 0
 
     def __call__(self, message: Message) -> None:
         now = time.monotonic()
-        self._tokens = min(BURST, self._tokens + (now - self._at) * self._rate)
-        self._at = now
-        if self._tokens < 1:  # guards against floods
+        self._tokens = min(BURST, self._tokens + (now - self._refilled_at) * self._rate)
+        self._refilled_at = now
+        if self._tokens < 1:  # rate limit reached
             self._dropped += 1
             return
         text = str(message).encode(errors="replace")
         if len(text) > LINE_LIMIT - 64:
             text = shortened(text) if self._structured else text[: LINE_LIMIT - 64] + b"\n"
         if self._dropped:
-            left = b'{"left_out": %d}\n' if self._structured else b"(%d lines left out)\n"
-            text = left % self._dropped + text
+            notice = b'{"left_out": %d}\n' if self._structured else b"(%d lines left out)\n"
+            text = notice % self._dropped + text
         try:
-            # Guards against a reader that stands still: a full pipe would stop the whole dispatcher.
+            # A write to a full pipe, whose reader has stopped, would block the whole dispatcher.
             if not self._poll.poll(0):
                 self._dropped += 1
                 return
@@ -75,19 +75,19 @@
 
 
 def event(name: str, **values: object) -> None:
-    """One structured debug line, `name key=value ...`, and the same as fields of a JSON line.
+    """Log a debug line, `name key=value ...`, with the same values as fields of a JSON line.
 
-    To be called where `debugging` holds: it formats at once.
+    Callers check `debugging` first, because the line is formatted immediately.
     """
     text = " ".join([name, *(f"{key}={value}" for key, value in values.items())])
     logger.bind(event=name, **values).debug("{}", text)
 
 
-debugging = True  # whether debug lines are wanted; asked where making one would cost
+debugging = True  # whether debug lines are logged; checked where building one is expensive
 
 
 def set_up(level: str = "INFO", structured: bool = False) -> None:
-    """Log to standard error from this level on, as text or, `structured`, as JSON lines."""
+    """Log to standard error from `level` on, as text or, if `structured`, as JSON lines."""
     global debugging
     debugging = level.upper() in ("DEBUG", "TRACE")
     logger.remove()
--- a/pulleyroute/net/process.py
+++ b/pulleyroute/net/process.py
@@ -1,5 +1,4 @@
-"""What every dispatcher's process needs: signals as something the loop hears, and its limit of
-descriptors."""
+"""Process-wide facilities: signals delivered through the event loop, and the limit of file descriptors."""
 
 from __future__ import annotations
 
@@ -14,43 +13,56 @@
 
 
 def on_error(name: str, exc: Exception) -> None:
-    """An exception ends its own connection alone."""
-    logger.bind(event="task.failed", task=name).opt(exception=exc).error("{} ended by an exception", name)
+    """Log an exception that ended a task; the other tasks continue."""
+    logger.bind(event="task.failed", task=name).opt(exception=exc).error(
+        "task {} failed with an exception", name
+    )
 
 
 def ensure_descriptors(wanted: int) -> int:
-    """As many as the configuration allows, if the system lets this process have them."""
+    """Raise the soft limit of descriptors to `wanted` if necessary, and return how many may be open.
+
+    The result is less than `wanted` if the hard limit is lower; a warning is logged in that case.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != resource.RLIM_INFINITY and soft < wanted:
         soft = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
     if soft != resource.RLIM_INFINITY and soft < wanted:
-        logger.bind(event="descriptors.few").warning("only {} of {} descriptors may be open", soft, wanted)
+        logger.bind(event="descriptors.few").warning(
+            "limit of open files: only {} of {} descriptors are available", soft, wanted
+        )
         return soft
     return wanted
 
 
 def raise_descriptor_limit() -> None:
-    """Let this process have as many as the system lets it have; a usual start is 1,024."""
+    """Raise the soft limit of descriptors, commonly 1,024, to the hard limit."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
 def catch_signals() -> tuple[socket.socket, socket.socket]:
-    """SIGTERM, SIGINT and SIGHUP as bytes to be read from the first socket; keep both."""
+    """Deliver SIGTERM, SIGINT and SIGHUP as bytes to be read from the first socket.
+
+    The caller must keep a reference to both sockets.
+    """
     source, sink = socket.socketpair()
     for end in (source, sink):
         end.setblocking(False)
     signal.set_wakeup_fd(sink.fileno(), warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        signal.signal(number, lambda *_: None)  # the loop hears of it through the descriptor
+        signal.signal(number, lambda *_: None)  # the loop is woken through the descriptor
     return source, sink
 
 
 def handle_signals(
     source: socket.socket, reload: Callable[[], None], stop: Callable[[], None]
 ) -> Coroutine[None]:
-    """What the signals ask for; several that come at once count as one."""
+    """Call `reload` on SIGHUP, and `stop` on SIGTERM and SIGINT.
+
+    Several signals that arrive together cause one call.
+    """
     while True:
         yield Wait(source.fileno(), READABLE)
         try:
@@ -61,8 +73,9 @@
             try:
                 reload()
             except Exception:
-                # Guards every later signal: whatever a file holds, SIGTERM has to be heard.
-                logger.bind(event="reload.failed").exception("the reload ended by an exception")
+                # An exception from a reload, whatever the file contains, must not stop the handling of
+                # SIGTERM.
+                logger.bind(event="reload.failed").exception("the reload failed with an exception")
         if signal.SIGTERM in numbers or signal.SIGINT in numbers:
-            logger.bind(event="stopping").info("asked to stop")
+            logger.bind(event="stopping").info("received a signal to stop")
             stop()
