--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -14,7 +14,7 @@
 from pulleyroute.net.config import ConfigError, load_config
 from tests.net.scene import INFO, SECOND, Listener, Scene
 
-CHUNKS = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def told(scene):
@@ -43,7 +43,7 @@
     ]
     data = "".join(line + "\n" for line in lines).encode()
     at = sorted({p % len(data) for p in places} | {0, len(data)})
-    peer.send(CHUNKS + b"".join(chunk(data[a:b]) for a, b in pairwise(at)))
+    peer.send(CHUNKED_HEAD + b"".join(chunk(data[a:b]) for a, b in pairwise(at)))
     scene.loop.until(lambda: len(news) == 2)
     assert [(n.version, n.kind) for n in news] == [(2, ListKind.DELTA), (3, ListKind.FULL)]
     assert news[0].entries[0].state is WorkerState.DRAINING
@@ -60,7 +60,7 @@
     scene.discovery.watch(True)
     peer = scene.discovery_peer.accept()
     peer.message()
-    peer.send(CHUNKS)
+    peer.send(CHUNKED_HEAD)
     for _ in range(3):
         scene.loop.settle()
         scene.loop.skip(2 * SECOND)
@@ -76,10 +76,10 @@
     [
         b"",
         b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
-        CHUNKS + b"0\r\n\r\n",
-        CHUNKS + chunk(b"{}\n"),
-        CHUNKS + chunk(b"garbage\n"),
-        CHUNKS + chunk(b'{"revision":1,"complete":true,"members":[{}]}\n'),
+        CHUNKED_HEAD + b"0\r\n\r\n",
+        CHUNKED_HEAD + chunk(b"{}\n"),
+        CHUNKED_HEAD + chunk(b"garbage\n"),
+        CHUNKED_HEAD + chunk(b'{"revision":1,"complete":true,"members":[{}]}\n'),
     ],
 )
 @pytest.mark.parametrize("way", ["watch", "fetch"])
@@ -115,7 +115,7 @@
     scene.discovery.watch(True)
     old, new = scene.discovery_peer.accept(), Listener(scene.loop)
     old.message()
-    old.send(CHUNKS)
+    old.send(CHUNKED_HEAD)
     scene.discovery.set_address(new.address)
     first = new.accept()
     assert first.message()[0].startswith(b"GET /api/targets HTTP")
--- a/tests/net/test_list_age.py
+++ b/tests/net/test_list_age.py
@@ -15,7 +15,7 @@
 from pulleyroute.net.json_lines import JsonLineSplitter
 from pulleyroute.settings import read_settings
 from tests.net.scene import INFO, MS, SECOND, Scene
-from tests.net.test_discovery import CHUNKS, chunk
+from tests.net.test_discovery import CHUNKED_HEAD, chunk
 from tests.net.test_pushed_list import Agent
 
 
@@ -198,5 +198,7 @@
     scene.discovery.watch(True)
     scene.loop.settle()
     assert scene.discovery_peer.untouched() and not peer.ended
-    peer.send(CHUNKS + chunk(json.dumps(scene.table("s-0", phase="leaving", revision=2)).encode() + b"\n"))
+    peer.send(
+        CHUNKED_HEAD + chunk(json.dumps(scene.table("s-0", phase="leaving", revision=2)).encode() + b"\n")
+    )
     scene.loop.until(lambda: not scene.discovery.active(b"s-0"))
--- a/tests/net/test_pushed_list.py
+++ b/tests/net/test_pushed_list.py
@@ -9,7 +9,7 @@
 from pulleyroute.net.config import load_config
 from pulleyroute.net.handover import Handover, place
 from tests.net.scene import INFO, MS, SECOND, Listener, Scene
-from tests.net.test_discovery import CHUNKS, chunk
+from tests.net.test_discovery import CHUNKED_HEAD, chunk
 
 PUSHED = {**INFO, "membership-mode": "pushed", "obligations": {**INFO["obligations"], "drain-grace": 500000}}
 GRACE = 500 * MS
@@ -29,7 +29,7 @@
     def opened(self, since):
         peer = self.listener.accept()
         assert b"GET /api/targets?watch=1&from=%d " % since in peer.message()[0]
-        peer.send(CHUNKS)
+        peer.send(CHUNKED_HEAD)
         return peer
 
     def line(self, *names, **more):
@@ -229,7 +229,9 @@
     parts = build(loaded, scene.loop)
     peer = scene.discovery_peer.accept()
     assert b"?watch=1&from=1 " in peer.message()[0]
-    peer.send(CHUNKS + chunk(json.dumps(scene.table("s-0", phase="leaving", revision=2)).encode() + b"\n"))
+    peer.send(
+        CHUNKED_HEAD + chunk(json.dumps(scene.table("s-0", phase="leaving", revision=2)).encode() + b"\n")
+    )
     scene.loop.until(lambda: not parts.discovery.active(b"s-0"))
     config["settings"] = {**PUSHED, "membership-mode": "on_request"}
     path.write_text(json.dumps(config))
--- a/tests/net/test_sizes.py
+++ b/tests/net/test_sizes.py
@@ -6,7 +6,7 @@
 
 from pulleyroute.net.http import BODY_LIMIT
 from tests.net.scene import Scene
-from tests.net.test_discovery import CHUNKS, chunk
+from tests.net.test_discovery import CHUNKED_HEAD, chunk
 from tests.net.test_handover import Process, old, passing
 
 __all__ = ["old"]  # a fixture
@@ -33,7 +33,7 @@
     send(
         scene,
         peer,
-        CHUNKS + b"".join(chunk(word[at : at + BODY_LIMIT]) for at in range(0, len(word), BODY_LIMIT)),
+        CHUNKED_HEAD + b"".join(chunk(word[at : at + BODY_LIMIT]) for at in range(0, len(word), BODY_LIMIT)),
     )
     scene.loop.until(lambda: scene.discovery.version == 2)
     assert scene.discovery.size == COUNT
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -11,7 +11,7 @@
 from pulleyroute.net.lifecycle import Phase
 from pulleyroute.net.list_freshness import START_TIMEOUT, ListFreshness, ListStatus
 from tests.net.scene import INFO, MS, READY, SECOND, TAKEN, Listener, Peer, Scene, StillLoop, callback
-from tests.net.test_discovery import CHUNKS, chunk
+from tests.net.test_discovery import CHUNKED_HEAD, chunk
 
 STEP = 20 * MS
 READY_WITHIN = 10 * SECOND  # the protocol's time for a restarted process
@@ -102,7 +102,7 @@
         """Discovery answers: of the two only `s-1` is there."""
         peer.message()
         table = self.table(revision=2, s_0="left", s_1="active", complete=False)
-        peer.send(CHUNKS + chunk(json.dumps(table).encode() + b"\n"))
+        peer.send(CHUNKED_HEAD + chunk(json.dumps(table).encode() + b"\n"))
         self.loop.settle()
 
     def back(self):
--- a/tests/test_rare_process.py
+++ b/tests/test_rare_process.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.net.scene import INFO, callback
-from tests.net.test_discovery import CHUNKS, chunk
+from tests.net.test_discovery import CHUNKED_HEAD, chunk
 from tests.net.test_main import until
 
 ROOT = Path(__file__).parent.parent
@@ -175,7 +175,7 @@
             }
         ]
         line = json.dumps({"revision": 1, "complete": True, "members": members}).encode() + b"\n"
-        watch.sendall(CHUNKS + chunk(line))
+        watch.sendall(CHUNKED_HEAD + chunk(line))
         client = stack.enter_context(connect(program.address))
         client.sendall(
             b"POST /read HTTP/1.1\r\nHost: x\r\nX-Txn: t1\r\nX-Remaining-Ms: 60000\r\n"
