--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client against a scripted discovery, and the configuration."""
+"""Tests the discovery client against a scripted discovery, and the reading of the configuration."""
 
 import json
 import subprocess
@@ -17,11 +17,12 @@
 CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def told(scene):
-    news = []
-    scene.discovery.on_update = news.append
-    scene.host._doers[Subscribe] = lambda action: None  # the test asks, not the module
-    return news
+def record_updates(scene):
+    """Record the updates that the client reports, in place of the host that handles them."""
+    updates = []
+    scene.discovery.on_update = updates.append
+    scene.host._doers[Subscribe] = lambda action: None  # the test makes the calls, not the decision logic
+    return updates
 
 
 def chunk(data):
@@ -30,9 +31,9 @@
 
 @settings(derandomize=True, max_examples=30, deadline=None)
 @given(st.lists(st.integers(0, 600), max_size=8))
-def test_a_watch_tells_its_lines_however_they_are_cut(places):
+def test_a_watch_reports_its_lines_however_they_are_split(positions):
     scene = Scene(instances=2)
-    news = told(scene)
+    updates = record_updates(scene)
     scene.discovery.watch(True)
     peer = scene.discovery_peer.accept()
     assert b"GET /api/targets?watch=1&from=1 " in peer.message()[0]
@@ -42,21 +43,21 @@
         json.dumps(scene.table("s-1", revision=3)),
     ]
     data = "".join(line + "\n" for line in lines).encode()
-    at = sorted({p % len(data) for p in places} | {0, len(data)})
-    peer.send(CHUNKED_HEAD + b"".join(chunk(data[a:b]) for a, b in pairwise(at)))
-    scene.loop.until(lambda: len(news) == 2)
-    assert [(n.version, n.kind) for n in news] == [(2, ListKind.DELTA), (3, ListKind.FULL)]
-    assert news[0].entries[0].state is WorkerState.DRAINING
+    cuts = sorted({position % len(data) for position in positions} | {0, len(data)})
+    peer.send(CHUNKED_HEAD + b"".join(chunk(data[a:b]) for a, b in pairwise(cuts)))
+    scene.loop.until(lambda: len(updates) == 2)
+    assert [(update.version, update.kind) for update in updates] == [(2, ListKind.DELTA), (3, ListKind.FULL)]
+    assert updates[0].entries[0].state is WorkerState.DRAINING
     assert not scene.discovery.active(b"s-0") and scene.discovery.active(b"s-1")
-    assert scene.discovery.member(b"s-0") is not None  # it stays known
+    assert scene.discovery.member(b"s-0") is not None  # an instance that has left stays known
     for end in (scene.discovery_peer.sock, peer, *(r.sock for r in scene.runners.values())):
         end.close()
 
 
 def test_a_watch_without_a_line_for_three_seconds_is_broken():
-    # Guards against a discovery that is cut off: its connection stays open and says nothing.
+    # When the network to discovery is cut, the connection stays open but carries no data.
     scene = Scene()
-    news = told(scene)
+    updates = record_updates(scene)
     scene.discovery.watch(True)
     peer = scene.discovery_peer.accept()
     peer.message()
@@ -66,9 +67,9 @@
         scene.loop.skip(2 * SECOND)
         peer.send(chunk(b"\n"))
     scene.loop.settle()
-    assert not news
+    assert not updates
     scene.loop.skip(3 * SECOND)
-    assert [n.kind for n in news] == [ListKind.FAILED]
+    assert [update.kind for update in updates] == [ListKind.FAILED]
 
 
 @pytest.mark.parametrize(
@@ -82,36 +83,36 @@
         CHUNKED_HEAD + chunk(b'{"revision":1,"complete":true,"members":[{}]}\n'),
     ],
 )
-@pytest.mark.parametrize("way", ["watch", "fetch"])
-def test_failed_calls_are_told_and_leave_the_list_as_it_was(answer, way):
+@pytest.mark.parametrize("call", ["watch", "fetch"])
+def test_failed_calls_are_reported_and_leave_the_list_unchanged(answer, call):
     scene = Scene()
-    news = told(scene)
-    scene.discovery.watch(True) if way == "watch" else scene.discovery.fetch()
+    updates = record_updates(scene)
+    scene.discovery.watch(True) if call == "watch" else scene.discovery.fetch()
     peer = scene.discovery_peer.accept()
     peer.message()
     peer.send(answer)
     peer.close()
-    scene.loop.until(lambda: news)
-    assert [n.kind for n in news] == [ListKind.FAILED] and scene.discovery.active(b"s-0")
+    scene.loop.until(lambda: updates)
+    assert [update.kind for update in updates] == [ListKind.FAILED] and scene.discovery.active(b"s-0")
 
 
-def test_a_fetch_tells_the_whole_list():
+def test_a_fetch_reports_the_full_list():
     scene = Scene(instances=2)
-    news = told(scene)
+    updates = record_updates(scene)
     scene.discovery.fetch()
     peer = scene.discovery_peer.accept()
     peer.message()
     body = json.dumps(scene.table("s-1", revision=7)).encode()
     peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    scene.loop.until(lambda: news)
-    assert (news[0].version, news[0].kind) == (7, ListKind.FULL) and not scene.discovery.active(b"s-0")
+    scene.loop.until(lambda: updates)
+    assert (updates[0].version, updates[0].kind) == (7, ListKind.FULL) and not scene.discovery.active(b"s-0")
 
 
-def test_a_move_takes_the_whole_list_at_the_new_address_and_tries_again_in_time():
-    # Guards a reload: versions of the old address may mean nothing at the new one, its end is no failure, and
-    # the module's pauses after a failure are longer than a move may take.
+def test_an_address_change_fetches_the_full_list_and_retries_in_time():
+    # After a reload, the old address's versions may be meaningless at the new one, and the end of the old
+    # watch is not a failure. The regular pauses after a failure are longer than a change of address may take.
     scene = Scene(instances=2)
-    news = told(scene)
+    updates = record_updates(scene)
     scene.discovery.watch(True)
     old, new = scene.discovery_peer.accept(), Listener(scene.loop)
     old.message()
@@ -129,31 +130,32 @@
     second.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
     watch = new.accept()
     assert b"?watch=1&from=1 " in watch.message()[0]
-    assert [n.kind for n in news] == [ListKind.FULL] and scene.discovery.active(b"s-1")
+    assert [update.kind for update in updates] == [ListKind.FULL] and scene.discovery.active(b"s-1")
     assert not scene.discovery.active(b"s-0") and scene.discovery.member(b"s-0") is not None
-    scene.discovery.set_address(new.address)  # already there
+    scene.discovery.set_address(new.address)  # the address is unchanged
     assert new.untouched()
     scene.discovery.set_address(scene.discovery_peer.address)
     scene.discovery_peer.sock.close()
     scene.loop.settle()
     scene.loop.skip(6 * SECOND)
-    assert [n.kind for n in news] == [ListKind.FULL, ListKind.FAILED]  # now the module paces the calls
+    # From here on the regular pauses apply.
+    assert [update.kind for update in updates] == [ListKind.FULL, ListKind.FAILED]
 
 
-def test_a_list_asked_for_before_a_move_is_not_taken():
+def test_a_list_requested_before_an_address_change_is_rejected():
     scene = Scene(instances=2)
-    news = told(scene)
+    updates = record_updates(scene)
     scene.discovery.fetch()
     peer = scene.discovery_peer.accept()
     peer.message()
     scene.discovery.set_address(Listener(scene.loop).address)
     body = json.dumps(scene.table("s-1", revision=9)).encode()
     peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    scene.loop.until(lambda: news)
-    assert [n.kind for n in news] == [ListKind.FAILED] and scene.discovery.active(b"s-0")
+    scene.loop.until(lambda: updates)
+    assert [update.kind for update in updates] == [ListKind.FAILED] and scene.discovery.active(b"s-0")
 
 
-def test_start_times_are_converted_to_the_clock_of_the_module():
+def test_start_times_are_converted_to_the_loops_clock():
     scene = Scene()
     scene.discovery.list._epoch = 5_000 * SECOND
     table = scene.table("s-0")
@@ -175,10 +177,10 @@
     )
 )
 def test_garbage_in_a_list_is_a_value_error(data):
-    names = SCENE.discovery
+    client = SCENE.discovery
     for item in (data, {"revision": 1, "complete": True, "members": [data]}):
         try:
-            names.list.apply(item, cached=False)
+            client.list.apply(item, cached=False)
         except ValueError:
             continue
 
@@ -188,7 +190,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "mentioned"),
     [
         (None, "not JSON"),
         ([], "not a JSON object"),
@@ -202,13 +204,13 @@
         ({}, "PROXY_FD"),
     ],
 )
-def test_a_bad_configuration_ends_with_one_plain_line(tmp_path, change, named):
+def test_a_bad_configuration_exits_with_a_one_line_message(tmp_path, change, mentioned):
     path = tmp_path / "config.json"
     good = {**CONFIG, "listen": "127.0.0.1:8080"}
     text = "{" if change is None else json.dumps({**good, **change} if isinstance(change, dict) else change)
     path.write_text(text)
-    env = {"PROXY_CONFIG": str(path)} | ({"PROXY_FD": "77"} if named == "PROXY_FD" else {})
-    done = subprocess.run(
+    env = {"PROXY_CONFIG": str(path)} | ({"PROXY_FD": "77"} if mentioned == "PROXY_FD" else {})
+    finished = subprocess.run(
         [sys.executable, "-m", "pulleyroute"],
         env=env,
         capture_output=True,
@@ -216,16 +218,20 @@
         timeout=60,
         check=False,
     )
-    assert done.returncode == 2 and done.stderr.count(b"\n") == 1 and named.encode() in done.stderr
+    assert (
+        finished.returncode == 2
+        and finished.stderr.count(b"\n") == 1
+        and mentioned.encode() in finished.stderr
+    )
 
 
-def test_the_variables_go_before_the_file(tmp_path):
+def test_the_variables_take_precedence_over_the_file(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**CONFIG, "listen": "127.0.0.1:8080", "limits": {"sockets": 512}}))
     config = load_config({"PROXY_CONFIG": str(path), "PROXY_NAME": "m", "PROXY_LISTEN": "127.0.0.2:81"})
     assert (config.name, config.listen, config.seed, config.sockets) == ("m", ("127.0.0.2", 81), 255, 512)
     at_start = load_config({"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": "127.0.0.3:5"})
-    again = load_config({"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": "127.0.0.3:5"}, at_start)
-    assert (at_start.discovery, again.discovery) == (("127.0.0.3", 5), ("127.0.0.1", 9))
+    reloaded = load_config({"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": "127.0.0.3:5"}, at_start)
+    assert (at_start.discovery, reloaded.discovery) == (("127.0.0.3", 5), ("127.0.0.1", 9))
     with pytest.raises(ConfigError, match="PROXY_CONFIG"):
         load_config({})
--- a/tests/net/test_list_age.py
+++ b/tests/net/test_list_age.py
@@ -37,13 +37,13 @@
         agent = Agent(info={**INFO, "membership-mode": mode, "balancers": dispatchers})
         agent.scene.discovery._random.seed(seed)
         agent.loop.skip(2 * SECOND)
-        agent.opened(1).send(chunk(b"\n"))
+        agent.accept_watch(1).send(chunk(b"\n"))
         agent.loop.settle()
         silent = agent.loop.time  # from here on nothing comes, and then s-0 drains
         while agent.listener.untouched_now():
             agent.loop.skip(20 * MS)
         assert agent.loop.time - silent <= call_pacing.WATCH_TIMEOUT + call_pacing.FIRST_PAUSE_LIMIT + 20 * MS
-        agent.opened(1).send(agent.line("s-0", phase="leaving", complete=False, revision=2))
+        agent.accept_watch(1).send(agent.line("s-0", phase="leaving", complete=False, revision=2))
         agent.loop.until(lambda agent=agent: agent.ready() == [b"s-1"])
 
 
@@ -153,15 +153,15 @@
 def test_a_word_that_never_ends_breaks_the_watch_though_bytes_keep_coming(spoilt):
     # Guards the list against a discovery that trickles: each chunk by itself is in time.
     agent = Agent()
-    peer = agent.opened(1)
+    peer = agent.accept_watch(1)
     peer.send(chunk(spoilt))
     for _ in range(4):
         agent.loop.settle()
         agent.loop.skip(800 * MS)
         if not peer.ended:
             peer.send(chunk(b" "))
-    assert agent.told == [ListKind.FAILED]
-    agent.opened(1).send(agent.line("s-0", phase="leaving", complete=False, revision=2))
+    assert agent.reported == [ListKind.FAILED]
+    agent.accept_watch(1).send(agent.line("s-0", phase="leaving", complete=False, revision=2))
     agent.loop.until(lambda: agent.ready() == [b"s-1"])
 
 
@@ -177,7 +177,7 @@
 
 def test_lists_may_come_indented_and_in_any_pieces():
     agent = Agent()
-    peer = agent.opened(1)
+    peer = agent.accept_watch(1)
     text = json.dumps(agent.scene.table("s-0", phase="leaving", complete=False, revision=2), indent=2)
     tricky = json.dumps({"revision": 1, "note": 'a "}" and a \\" in a text', "members": []}, indent=1)
     data = (text + "\n\n").encode()
