--- a/tests/net/test_list_age.py
+++ b/tests/net/test_list_age.py
@@ -1,4 +1,4 @@
-"""How old the list may be: what discovery could tell is known in time, whatever ends a watch."""
+"""Tests the age of the list: every update arrives within the protocol's time limit, whatever ends a watch."""
 
 import heapq
 import json
@@ -19,50 +19,60 @@
 from tests.net.test_pushed_list import Agent
 
 
-def test_all_that_stands_between_a_silence_and_the_next_news_is_within_the_protocols_time():
-    t = call_pacing
-    for spent in (t.WATCH_TIMEOUT + t.FIRST_PAUSE_LIMIT, t.PAUSE_LIMIT, *range(0, t.PAUSE_LIMIT, 50 * MS)):
-        answer = t.remaining_answer_timeout(spent)
-        assert spent + t.CONNECT_TIMEOUT + answer <= t.UPDATE_DEADLINE
-        assert t.ANSWER_TIMEOUT_MIN <= answer <= t.ANSWER_TIMEOUT_MAX
-    assert t.remaining_answer_timeout(0) == t.ANSWER_TIMEOUT_MAX
-    assert t.WATCH_TIMEOUT >= 2 * SECOND + 500 * MS  # an empty line comes every 2 s
-    assert t.WATCH_TIMEOUT >= t.STABLE_WATCH  # so that one that has fallen silent counts as one that stood
+def test_the_steps_from_a_silence_to_the_next_update_fit_the_protocols_time_limit():
+    limits = call_pacing
+    for spent in (
+        limits.WATCH_TIMEOUT + limits.FIRST_PAUSE_LIMIT,
+        limits.PAUSE_LIMIT,
+        *range(0, limits.PAUSE_LIMIT, 50 * MS),
+    ):
+        answer = limits.remaining_answer_timeout(spent)
+        assert spent + limits.CONNECT_TIMEOUT + answer <= limits.UPDATE_DEADLINE
+        assert limits.ANSWER_TIMEOUT_MIN <= answer <= limits.ANSWER_TIMEOUT_MAX
+    assert limits.remaining_answer_timeout(0) == limits.ANSWER_TIMEOUT_MAX
+    assert limits.WATCH_TIMEOUT >= 2 * SECOND + 500 * MS  # an empty line comes every 2 s
+    # A watch that has fallen silent counts as stable.
+    assert limits.WATCH_TIMEOUT >= limits.STABLE_WATCH
 
 
 @pytest.mark.parametrize("dispatchers", [1, 200])
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
-def test_a_drain_that_a_silent_watch_missed_is_known_within_six_seconds(mode, dispatchers):
+def test_a_drain_that_a_silent_watch_missed_is_noticed_within_six_seconds(mode, dispatchers):
     for seed in range(5):
         agent = Agent(info={**INFO, "membership-mode": mode, "balancers": dispatchers})
         agent.scene.discovery._random.seed(seed)
         agent.loop.skip(2 * SECOND)
         agent.accept_watch(1).send(chunk(b"\n"))
         agent.loop.settle()
-        silent = agent.loop.time  # from here on nothing comes, and then s-0 drains
+        silent_since = agent.loop.time  # from here on the watch is silent, and then s-0 starts to leave
         while agent.listener.untouched_now():
             agent.loop.skip(20 * MS)
-        assert agent.loop.time - silent <= call_pacing.WATCH_TIMEOUT + call_pacing.FIRST_PAUSE_LIMIT + 20 * MS
+        assert (
+            agent.loop.time - silent_since
+            <= call_pacing.WATCH_TIMEOUT + call_pacing.FIRST_PAUSE_LIMIT + 20 * MS
+        )
         agent.accept_watch(1).send(agent.line("s-0", phase="leaving", complete=False, revision=2))
         agent.loop.until(lambda agent=agent: agent.ready() == [b"s-1"])
 
 
-class Turns:
-    """A discovery for all, in simulated time: it works through calls in turn, and each is work.
+class SimulatedDiscovery:
+    """One discovery for many dispatchers, in simulated time, which serves its calls in order of arrival.
 
-    What has waited too long gets 503 when its turn comes; what its caller has given up is work too. When to
-    call is what the real clients decide.
+    Each call takes `service_time`, even if its caller has given it up, or if it has waited longer than
+    `patience` and is rejected with 503. The real `CallPacing` decides when each dispatcher calls.
     """
 
-    def __init__(self, seed: int, each: int, patience: int, callers: int, outage: int = 10 * SECOND) -> None:
-        self.each, self.patience, self.free = each, patience, 0
-        self.pacings, self.calls, self.done = [], [], {}
+    def __init__(
+        self, seed: int, service_time: int, patience: int, callers: int, outage: int = 10 * SECOND
+    ) -> None:
+        self.service_time, self.patience, self.free_at = service_time, patience, 0
+        self.pacings, self.calls, self.answered_at = [], [], {}
         unix = Random(seed).randrange(10**15)
         for i in range(callers):
             settings = read_settings({**INFO, "balancers": callers, "me": i})[0]
             self.pacings.append(CallPacing(settings, unix, Random(1000 * seed + i)))
             at = -outage
-            while at < 0:  # it is down until 0, and says so at once
+            while at < 0:  # discovery is down until 0, and each call fails immediately
                 at += self.pacings[i].after_failure(at, 0)
             self.calls.append((at, i))
 
@@ -70,42 +80,43 @@
         heapq.heapify(self.calls)
         while self.calls and self.calls[0][0] < until:
             at, i = heapq.heappop(self.calls)
-            begun = max(at, self.free)
-            self.free = begun + self.each
+            begun = max(at, self.free_at)
+            self.free_at = begun + self.service_time
             patience = min(self.patience, self.pacings[i].answer_timeout)
             if begun - at <= patience:
-                self.done[i] = self.free
+                self.answered_at[i] = self.free_at
             else:
                 given_up = at + patience
                 heapq.heappush(self.calls, (given_up + self.pacings[i].after_failure(given_up, patience), i))
 
 
-def ends_of(patience, outage=10 * SECOND):
-    """When each caller of a discovery got through that came back at 0, for two fleets and ten seeds."""
+def last_answers(patience, outage=10 * SECOND):
+    """Yield when the last caller is answered, for two fleets and ten seeds; discovery returns at 0."""
     for callers, rate in ((200, 50), (40, 10)):
         for seed in range(10):
-            turns = Turns(seed, SECOND // rate, patience, callers, outage)
-            turns.run(60 * SECOND)
-            assert len(turns.done) == callers, (callers, seed)
-            yield max(turns.done.values())
+            discovery = SimulatedDiscovery(seed, SECOND // rate, patience, callers, outage)
+            discovery.run(60 * SECOND)
+            assert len(discovery.answered_at) == callers, (callers, seed)
+            yield max(discovery.answered_at.values())
 
 
 @pytest.mark.parametrize("patience", [1, 2, 3])
-def test_a_discovery_with_too_many_callers_does_not_stay_so(patience):
-    # Failure: 40 dispatchers called 130 times a second, and not one got through: a call that was turned away
-    # after a long wait began its pauses anew, and others were given up just when their turn came.
-    assert max(ends_of(patience * SECOND)) <= 20 * SECOND
+def test_a_discovery_with_too_many_callers_recovers(patience):
+    # Regression: 40 dispatchers called 130 times a second and none got an answer. A call rejected after a
+    # long wait started its pauses over, and other calls were given up just when their turn came.
+    assert max(last_answers(patience * SECOND)) <= 20 * SECOND
 
 
 @pytest.mark.parametrize("patience", [1, 2, 3])
-def test_the_callers_of_a_slow_discovery_are_each_through_within_six_seconds_of_its_return(patience):
-    assert max(ends_of(patience * SECOND)) <= call_pacing.UPDATE_DEADLINE
+def test_each_caller_of_a_slow_discovery_is_answered_within_six_seconds_of_its_return(patience):
+    assert max(last_answers(patience * SECOND)) <= call_pacing.UPDATE_DEADLINE
 
 
 @pytest.mark.parametrize("outage", [1, 2, 3, 5, 20])
-def test_so_they_are_however_long_it_was_away(outage):
-    # Failure: pauses drawn at random bunch, the more so while they still grow: the last needed 18 s and more.
-    assert max(ends_of(SECOND, outage * SECOND)) <= call_pacing.UPDATE_DEADLINE
+def test_each_caller_is_answered_in_time_however_long_the_outage(outage):
+    # Regression: random pauses cluster, the more so while they still grow; the last caller took 18 s and
+    # more.
+    assert max(last_answers(SECOND, outage * SECOND)) <= call_pacing.UPDATE_DEADLINE
 
 
 def test_callers_that_share_a_clock_call_evenly_each_in_its_own_slot():
@@ -117,17 +128,17 @@
     assert all(late - early >= period // callers // 2 - 1 for early, late in pairwise(times))
     assert CallSlots(period, 7, callers).next(times[3], 0.0) % period == 7 * period // callers
     assert CallSlots(period, callers + 7, callers).next(0, 0.0) == CallSlots(period, 7, callers).next(0, 0.0)
-    assert CallSlots(period, 0, 0).next(0, 0.0) == period  # never at once: a call has just been in vain
+    assert CallSlots(period, 0, 0).next(0, 0.0) == period  # never at once: a call has just failed
 
 
 @pytest.mark.parametrize(
-    ("dispatchers", "waited", "least"),
+    ("dispatchers", "waited", "minimum"),
     [
-        (40, 2500 * MS, 2 * SECOND),  # longer than any pause where discovery is merely away
+        (40, 2500 * MS, 2 * SECOND),  # longer than any pause while discovery is merely unavailable
         (2, 500 * MS, 70 * MS),  # longer than any first pause
     ],
 )
-def test_a_call_turned_away_after_a_long_wait_does_not_begin_the_pauses_anew(dispatchers, waited, least):
+def test_a_call_rejected_after_a_long_wait_does_not_restart_the_pauses(dispatchers, waited, minimum):
     agent = Agent(info={**INFO, "balancers": dispatchers})
     pauses, since = [], agent.loop.time
     for _ in range(12):
@@ -136,25 +147,26 @@
         pauses.append(agent.loop.time - since)
         peer = agent.listener.accept()
         peer.message()
-        agent.loop.skip(waited)  # it waits for its turn
+        agent.loop.skip(waited)  # the call waits for its turn
         peer.send(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
         agent.loop.settle()
         since = agent.loop.time
-    assert sum(pauses[4:]) / 8 > least, pauses
+    assert sum(pauses[4:]) / 8 > minimum, pauses
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "incomplete",
     [
-        b'{"revision":2,"complete":false,"members":[\n',  # and then byte by byte, for ever
+        b'{"revision":2,"complete":false,"members":[\n',  # followed by single bytes without end
         b"                    ",
     ],
 )
-def test_a_word_that_never_ends_breaks_the_watch_though_bytes_keep_coming(spoilt):
-    # Guards the list against a discovery that trickles: each chunk by itself is in time.
+def test_a_line_that_never_ends_breaks_the_watch_though_bytes_keep_coming(incomplete):
+    # A discovery that sends a few bytes at a time would delay the next update for ever: each chunk arrives in
+    # time, but the line does not.
     agent = Agent()
     peer = agent.accept_watch(1)
-    peer.send(chunk(spoilt))
+    peer.send(chunk(incomplete))
     for _ in range(4):
         agent.loop.settle()
         agent.loop.skip(800 * MS)
@@ -165,17 +177,17 @@
     agent.loop.until(lambda: agent.ready() == [b"s-1"])
 
 
-def test_an_object_that_never_closes_holds_a_bounded_few_lines():
-    # Guards the memory against a discovery that floods: until a word has to be whole, much can come.
+def test_an_object_that_never_closes_buffers_a_bounded_number_of_lines():
+    # A flooding discovery could exhaust the memory, because much data can arrive within a line's time limit.
     splitter = JsonLineSplitter()
     assert not list(splitter.feed(b"{\n"))
     with pytest.raises((Broken, ValueError)):
         for _ in range(4 * 1024):
-            for word in splitter.feed(b"\n" * 1024):
-                json.loads(word)
+            for line in splitter.feed(b"\n" * 1024):
+                json.loads(line)
 
 
-def test_lists_may_come_indented_and_in_any_pieces():
+def test_lists_may_be_indented_and_arrive_in_any_pieces():
     agent = Agent()
     peer = agent.accept_watch(1)
     text = json.dumps(agent.scene.table("s-0", phase="leaving", complete=False, revision=2), indent=2)
@@ -184,13 +196,13 @@
     for at in range(0, len(data), 7):
         peer.send(chunk(data[at : at + 7]))
     agent.loop.until(lambda: agent.ready() == [b"s-1"])
-    assert [json.loads(word) for word in JsonLineSplitter().feed(tricky.encode() + b"\n")] == [
+    assert [json.loads(line) for line in JsonLineSplitter().feed(tricky.encode() + b"\n")] == [
         json.loads(tricky)
     ]
 
 
-def test_a_request_for_a_watch_does_not_cut_off_one_that_is_being_opened():
-    # Guards against settings by which the decisions ask again sooner than a busy discovery answers.
+def test_a_request_for_a_watch_does_not_cancel_one_that_is_being_opened():
+    # With some settings the decision logic repeats its request sooner than a busy discovery answers.
     scene = Scene()
     scene.discovery.watch(True)
     peer = scene.discovery_peer.accept()
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -1,4 +1,4 @@
-"""A new process and the list that it was handed: who has left since gets nothing, whatever discovery does."""
+"""Tests a new process with a list from its configuration: instances that have left since get no requests."""
 
 import json
 import socket
@@ -14,17 +14,17 @@
 from tests.net.test_discovery import CHUNKED_HEAD, chunk
 
 STEP = 20 * MS
-READY_WITHIN = 10 * SECOND  # the protocol's time for a restarted process
+READY_WITHIN = 10 * SECOND  # the protocol's time limit for a restarted process
 
 
-class Start:
-    """A new process; in the list of its configuration `s-0` is ready, which has left since."""
+class NewProcess:
+    """A new process whose configuration lists `s-0` as ready, although `s-0` has left since."""
 
-    def __init__(self, tmp_path, mode="on_request", dispatchers=1, away=False):
+    def __init__(self, tmp_path, mode="on_request", dispatchers=1, discovery_down=False):
         self.loop = StillLoop()
         self.instances = {name: Listener(self.loop) for name in ("s-0", "s-1")}
         self.discovery = Listener(self.loop)
-        if away:
+        if discovery_down:
             self.discovery.sock.close()
         path = tmp_path / "config.json"
         info = {**INFO, "membership-mode": mode, "balancers": dispatchers}
@@ -33,12 +33,13 @@
         path.write_text(json.dumps({**config, "discovery": "{}:{}".format(*self.discovery.address)}))
         loaded = load_config({"PROXY_CONFIG": str(path)})
         loaded.listen = ("127.0.0.1", 0)
-        self.began = self.loop.time
+        self.started_at = self.loop.time
         self.parts = build(loaded, self.loop)
-        self.clients, self.open, self.count = [], [], 0
-        self.calls = []  # to discovery, not answered
+        self.clients, self.connections, self.count = [], [], 0
+        self.calls = []  # unanswered calls to discovery, with their times
 
     def table(self, revision, complete=True, **phases):
+        """Return a list in discovery's form; the names of `phases` have `_` for the `-` of the instances."""
         members = [
             {
                 "id": name.replace("_", "-"),
@@ -62,7 +63,7 @@
         return b" 200 " in head
 
     def ask(self):
-        """A request; its connection, with its id."""
+        """Send a request; return its id and its connection."""
         self.count += 1
         peer = self.client(
             f"POST /read HTTP/1.1\r\nHost: x\r\nX-Txn: t{self.count}\r\nX-Remaining-Ms: 4000\r\n"
@@ -72,45 +73,45 @@
         return f"t{self.count}", peer
 
     def step(self):
-        """Time passes, and the instances serve what has come to them."""
+        """Advance the clock, and let the instances serve the requests that have arrived."""
         self.loop.skip(STEP)
         for name, listener in self.instances.items():
             while not listener.untouched_now():
-                self.open.append((name, listener.accept()))
-        for name, peer in self.open:
+                self.connections.append((name, listener.accept()))
+        for name, peer in self.connections:
             head, mark, rest = peer.pull().partition(b"\r\n\r\n")
             if mark:
                 peer.data = rest
                 txn = head.partition(b"X-Txn: ")[2].partition(b"\r\n")[0].decode()
                 peer.send(TAKEN)
-                word = {"id": txn, "from": name, "state": "done", "result": "r"}
-                call = self.client(callback(json.dumps(word).encode()))
-                assert b" 204 " in call.message()[0]
-                call.close()
+                result = {"id": txn, "from": name, "state": "done", "result": "r"}
+                callback_peer = self.client(callback(json.dumps(result).encode()))
+                assert b" 204 " in callback_peer.message()[0]
+                callback_peer.close()
 
-    def come(self):
-        """The next call to discovery that has come, or None."""
+    def next_call(self):
+        """Return the next call that has arrived at discovery, or None."""
         return None if self.discovery.untouched_now() else self.discovery.accept()
 
-    def called(self):
-        """The first call to discovery, once it has come."""
-        while (peer := self.come()) is None:
+    def wait_for_call(self):
+        """Return the next call to discovery, once it has arrived."""
+        while (peer := self.next_call()) is None:
             self.step()
         return peer
 
-    def tell(self, peer):
-        """Discovery answers: of the two only `s-1` is there."""
+    def answer(self, peer):
+        """Answer a call to discovery: of the two instances only `s-1` is still there."""
         peer.message()
         table = self.table(revision=2, s_0="left", s_1="active", complete=False)
         peer.send(CHUNKED_HEAD + chunk(json.dumps(table).encode() + b"\n"))
         self.loop.settle()
 
-    def back(self):
+    def restart_discovery(self):
         self.discovery = Listener(self.loop, self.discovery.address)
 
-    def untouched(self):
-        """Whether the instance that has left has seen nobody."""
-        return not any(name == "s-0" for name, _ in self.open)
+    def departed_untouched(self):
+        """Return whether the instance that has left has had no connection."""
+        return not any(name == "s-0" for name, _ in self.connections)
 
     def end(self):
         self.parts.discovery.watch(False)
@@ -123,42 +124,42 @@
 
 @pytest.fixture
 def start(tmp_path):
-    made = []
+    started = []
 
     def begin(**more):
-        made.append(Start(tmp_path, **more))
-        return made[-1]
+        started.append(NewProcess(tmp_path, **more))
+        return started[-1]
 
     yield begin
-    for each in made:
+    for each in started:
         each.end()
 
 
 def at_once(scene, now):
-    if (peer := scene.come()) is not None:
-        scene.tell(peer)
+    if (peer := scene.next_call()) is not None:
+        scene.answer(peer)
 
 
 def late_by_two_seconds(scene, now):
-    if (peer := scene.come()) is not None:
+    if (peer := scene.next_call()) is not None:
         scene.calls.append((now, peer))
-    for came, peer in scene.calls:
-        if now - came >= 2 * SECOND:
-            scene.tell(peer)
-    scene.calls = [each for each in scene.calls if now - each[0] < 2 * SECOND]
+    for called_at, peer in scene.calls:
+        if now - called_at >= 2 * SECOND:
+            scene.answer(peer)
+    scene.calls = [call for call in scene.calls if now - call[0] < 2 * SECOND]
 
 
-def away_for_five_seconds(scene, now):
+def down_for_five_seconds(scene, now):
     if now >= 5 * SECOND:
         if scene.discovery.sock.fileno() < 0:
-            scene.back()
+            scene.restart_discovery()
         at_once(scene, now)
 
 
-def refusing_at_first(scene, now):
+def rejecting_at_first(scene, now):
     if now >= 4 * SECOND:
         at_once(scene, now)
-    elif (peer := scene.come()) is not None:
+    elif (peer := scene.next_call()) is not None:
         peer.message()
         peer.send(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 
@@ -166,106 +167,108 @@
 def reset_at_first(scene, now):
     if now >= 4 * SECOND:
         at_once(scene, now)
-    elif (peer := scene.come()) is not None:
+    elif (peer := scene.next_call()) is not None:
         peer.close()
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize(
-    "discovery", [at_once, late_by_two_seconds, away_for_five_seconds, refusing_at_first, reset_at_first]
+    "discovery", [at_once, late_by_two_seconds, down_for_five_seconds, rejecting_at_first, reset_at_first]
 )
-def test_nothing_is_sent_to_who_left_before_the_start(start, discovery, mode):
-    # Failure: a restarted process sent requests by its configuration's list until discovery had answered.
-    scene = start(mode=mode, away=discovery is away_for_five_seconds)
-    asked = 0
-    while (now := scene.loop.time - scene.began) < 8 * SECOND:
-        if now >= asked * 200 * MS:
+def test_nothing_is_sent_to_an_instance_that_left_before_the_start(start, discovery, mode):
+    # Regression: a restarted process used its configuration's list until discovery answered.
+    scene = start(mode=mode, discovery_down=discovery is down_for_five_seconds)
+    sent = 0
+    while (now := scene.loop.time - scene.started_at) < 8 * SECOND:
+        if now >= sent * 200 * MS:
             scene.ask()
-            asked += 1
+            sent += 1
         discovery(scene, now)
         scene.step()
-        assert scene.untouched()
+        assert scene.departed_untouched()
     assert scene.parts.discovery.freshness.status is ListStatus.CONFIRMED and scene.ready()
     served, refused = 0, 0
-    for peer in scene.clients[: asked - 5]:
+    for peer in scene.clients[: sent - 5]:
         head = peer.message()[0]
         served += b" 200 " in head
         refused += b" 503 " in head and b"retry-after" in head.lower()
-    assert served + refused == asked - 5
-    assert served >= 10  # those that came in time for the list, and all since
+    assert served + refused == sent - 5
+    assert served >= 10  # the requests that could wait for the list, and all later ones
     assert scene.parts.host.faults == 0
 
 
-def test_what_waits_for_the_list_is_served_by_it(start):
+def test_requests_that_wait_for_the_list_are_served_according_to_it(start):
     scene = start()
     _, client = scene.ask()
     for _ in range(10):
         scene.step()
     assert not scene.ready() and not client.pull()
-    scene.tell(scene.called())
+    scene.answer(scene.wait_for_call())
     assert scene.ready()
     scene.loop.until(lambda: scene.step() or client.pull())
-    assert b" 200 " in client.message()[0] and scene.untouched()
+    assert b" 200 " in client.message()[0] and scene.departed_untouched()
 
 
-@pytest.mark.parametrize("way", ["refuses", "hangs", "breaks off"])
+@pytest.mark.parametrize("failure", ["refuses", "hangs", "breaks off"])
 @pytest.mark.parametrize("dispatchers", [1, 200])
-def test_where_discovery_is_away_for_good_the_list_of_the_configuration_serves(start, way, dispatchers):
-    scene = start(away=way == "refuses", dispatchers=dispatchers)
+def test_the_configurations_list_is_used_while_discovery_is_unreachable(start, failure, dispatchers):
+    scene = start(discovery_down=failure == "refuses", dispatchers=dispatchers)
     while not scene.parts.clients.lifecycle.ready:
-        if way == "breaks off" and (peer := scene.come()) is not None:
+        if failure == "breaks off" and (peer := scene.next_call()) is not None:
             peer.close()
         scene.step()
-        assert scene.loop.time - scene.began <= READY_WITHIN
-    assert scene.loop.time - scene.began >= START_TIMEOUT - SECOND
+        assert scene.loop.time - scene.started_at <= READY_WITHIN
+    assert scene.loop.time - scene.started_at >= START_TIMEOUT - SECOND
     assert scene.parts.discovery.freshness.status is ListStatus.ASSUMED
     for _ in range(4):
         _, client = scene.ask()
         scene.loop.until(lambda client=client: scene.step() or client.pull())
         assert b" 200 " in client.message()[0]
-    assert not scene.untouched()  # nobody knows better
+    assert not scene.departed_untouched()  # the process cannot know that s-0 has left
 
 
-def test_a_client_that_goes_while_its_request_waits_for_the_list_is_not_sent_on(start):
+def test_a_request_whose_client_disconnects_while_it_waits_for_the_list_is_not_sent(start):
     scene = start()
     _, client = scene.ask()
     scene.loop.until(lambda: scene.parts.host.open == 1)
     client.close()
     scene.loop.until(lambda: not scene.parts.host.open)
-    scene.tell(scene.called())
+    scene.answer(scene.wait_for_call())
     for _ in range(20):
         scene.step()
-    assert not scene.open and not scene.parts.host.held
+    assert not scene.connections and not scene.parts.host.held
 
 
-def test_a_request_whose_class_a_reload_changes_while_it_waits_may_come_again(start):
+def test_a_request_whose_class_a_reload_changes_while_it_waits_is_rejected_for_a_retry(start):
     scene = start()
     _, client = scene.ask()
     scene.loop.until(lambda: scene.parts.host.open == 1)
     settings = scene.parts.clients.settings
-    scene.parts.adopt(type(settings)(**{**vars_of(settings), "classes": list(reversed(settings.classes))}))
-    scene.tell(scene.called())
-    assert b" 503 " in client.message()[0] and not scene.open
+    scene.parts.adopt(
+        type(settings)(**{**field_values(settings), "classes": list(reversed(settings.classes))})
+    )
+    scene.answer(scene.wait_for_call())
+    assert b" 503 " in client.message()[0] and not scene.connections
 
 
-def vars_of(settings):
+def field_values(settings):
     return {name: getattr(settings, name) for name in settings.__dataclass_fields__}
 
 
-def test_a_drain_while_the_list_is_waited_for_does_not_make_the_process_ready(start):
+def test_a_drain_during_the_wait_for_the_list_does_not_make_the_process_ready(start):
     scene = start()
     scene.parts.standby()
     scene.parts.active()
     assert scene.parts.phase is Phase.STARTING and not scene.ready()
     scene.parts.standby()
-    scene.tell(scene.called())
+    scene.answer(scene.wait_for_call())
     assert scene.parts.phase is Phase.STANDBY and not scene.ready()
     scene.parts.active()
     assert scene.ready()
 
 
-def test_the_list_of_the_process_before_is_used_only_if_that_might_and_nothing_newer_is_known():
-    for usable, revision, want in ((True, 2, True), (False, 2, False), (None, 2, False), (True, 1, False)):
+def test_the_previous_processs_list_is_used_only_if_usable_there_and_not_older():
+    for usable, revision, used in ((True, 2, True), (False, 2, False), (None, 2, False), (True, 1, False)):
         scene = Scene(instances=2)
         scene.discovery.begin()
         scene.discovery.list.apply(scene.table("s-0", "s-1", revision=2), cached=False)
@@ -275,26 +278,26 @@
         link = type("Link", (), {"shift": 0, "close": lambda self, why: None})()
         state = {"list": scene.table("s-0", "s-1", revision=revision), "usable": usable}
         handover._use(link, [{"phase": "serving"}, state])
-        assert scene.discovery.freshness.usable is want
-        # In either case discovery is asked at once.
+        assert scene.discovery.freshness.usable is used
+        # Whether or not the list is used, the process calls discovery at once.
         assert b"?watch=1&from=%d " % revision in scene.discovery_peer.accept().message()[0]
         scene.discovery.watch(False)
 
 
-def test_a_lists_standing_moves_only_as_the_table_says():
-    freshness, called = ListFreshness(), []
+def test_the_lists_status_changes_only_as_documented():
+    freshness, notified = ListFreshness(), []
     freshness.replace()
     freshness.confirm()
     assert freshness.usable and freshness.status is ListStatus.GIVEN
     freshness.begin(100, 0.0)
     assert not freshness.usable and not freshness.call_failed(100 + START_TIMEOUT - 1)
-    freshness.when_usable(lambda: called.append(1))
+    freshness.when_usable(lambda: notified.append(1))
     assert freshness.next_call(100 + 2 * START_TIMEOUT) == 100 + START_TIMEOUT
-    assert not called and freshness.call_failed(100 + START_TIMEOUT) and called == [1]
+    assert not notified and freshness.call_failed(100 + START_TIMEOUT) and notified == [1]
     assert freshness.status is ListStatus.ASSUMED and not freshness.call_failed(200 + START_TIMEOUT)
     assert freshness.next_call(300 + START_TIMEOUT) == 300 + START_TIMEOUT
     freshness.confirm()
-    freshness.when_usable(lambda: called.append(2))
-    assert called == [1, 2] and freshness.status is ListStatus.CONFIRMED
+    freshness.when_usable(lambda: notified.append(2))
+    assert notified == [1, 2] and freshness.status is ListStatus.CONFIRMED
     freshness.replace()
     assert not freshness.usable
