--- a/tests/net/test_lifecycle.py
+++ b/tests/net/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The state machine of service, by its calls alone; then what it does to connections."""
+"""Tests the lifecycle: first the state machine alone, then its effects on connections."""
 
 from dataclasses import replace
 
@@ -8,10 +8,10 @@
 from pulleyroute.net.lifecycle import NEVER, STANDBY_IDLE, Lifecycle, Phase
 from tests.net.scene import READY, SECOND, Scene
 
-LONGEST = 25 * SECOND
+LONGEST = 25 * SECOND  # the longest give-up time of a job
 
 
-def test_it_moves_only_where_the_table_says():
+def test_the_phase_changes_only_as_documented():
     lifecycle = Lifecycle()
     assert not lifecycle.accepts_clients and not lifecycle.active()
     lifecycle.serve()
@@ -35,11 +35,11 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["standby", "active", "end"]), st.integers(0, 5 * SECOND))))
-def test_nothing_is_held_past_the_pages_times_however_the_calls_come(calls):
+def test_deadlines_are_kept_in_any_order_of_calls(calls):
     lifecycle, now, since = Lifecycle(), 0, None
     lifecycle.serve()
-    for call, later in calls:
-        now += later
+    for call, elapsed in calls:
+        now += elapsed
         if call == "active":
             lifecycle.active()
         else:
@@ -48,47 +48,48 @@
             since = now if since is None else since
         elif lifecycle.phase is Phase.SERVING:
             since = None
-        if since is not None:  # the drain that is on, or that an end has followed
+        if since is not None:  # during a drain, or after an end that followed it
             assert lifecycle.closing(max(now, since)) and lifecycle.refuses(since + 2 * SECOND)
             assert max(lifecycle.close_idle_from, lifecycle.abort_incomplete_from) < since + 4 * SECOND
         if lifecycle.phase is Phase.ENDING:
             assert lifecycle.answer_by(now + SECOND) <= now + 3_700_000
 
 
-def done(scene, txn):
+def finish(scene, txn):
+    """Report a job as done by the instance that has it."""
     (attempt,) = scene.host._by_txn[txn].attempts
     scene.loop.until(lambda: attempt.written)
     assert b" 204 " in scene.call(id=txn, state="done", result="r", **{"from": attempt.instance.decode()})
 
 
-def test_a_drain_sends_clients_elsewhere_and_loses_nothing():
+def test_a_drain_moves_clients_elsewhere_and_loses_no_job():
     scene = Scene(instances=4)
-    idle, trickling, long, short = scene.known(), scene.known(), scene.client(), scene.client()
+    idle, incomplete, long, short = scene.known(), scene.known(), scene.client(), scene.client()
     scene.ask("/charge", "t1", peer=long)
     scene.ask("/charge", "t2", peer=short)
     scene.loop.until(lambda: scene.host.open == 2)
-    trickling.send(b"POST /read HTTP/1.1\r\n")
+    incomplete.send(b"POST /read HTTP/1.1\r\n")
     scene.clients.standby()
     scene.clients.standby()
-    done(scene, "t2")
+    finish(scene, "t2")
     assert b"connection: close" in short.message()[0].lower()
     fresh = scene.client()
     fresh.send(READY)
     assert b" 503 " in fresh.message()[0]
     scene.loop.skip(STANDBY_IDLE - 50_000)
     scene.loop.settle()
-    assert not idle.pull() and not idle.ended  # the front has to see the no first
+    assert not idle.pull() and not idle.ended  # the load balancer has to see the negative answer first
     scene.loop.skip(100_000)
     scene.gone(idle)
-    late = scene.ask(txn="t3")  # taken in time: it is served
+    late = scene.ask(txn="t3")  # accepted in time, so it is served
     scene.loop.until(lambda: scene.host.knows("t3"))
     scene.loop.skip(800_000)
     assert b" 503 " in scene.ask(txn="t4").message()[0]
     scene.loop.skip(1_300_000)
-    assert b" 503 " in trickling.message()[0]
-    scene.gone(trickling)
-    done(scene, "t3")
-    done(scene, "t1")  # a call-back arrives during a drain as ever
+    assert b" 503 " in incomplete.message()[0]
+    scene.gone(incomplete)
+    finish(scene, "t3")
+    finish(scene, "t1")  # call-backs are still accepted during a drain
     for peer in (late, long):
         head, body = peer.message()
         assert b" 200 " in head and b"connection: close" in head.lower() and body == b"r"
@@ -97,7 +98,7 @@
     assert not scene.clients._connections and not scene.loop.stopped
 
 
-def test_it_is_back_at_work_at_once_and_what_was_not_closed_stays():
+def test_a_return_from_standby_is_immediate_and_keeps_open_connections():
     scene = Scene()
     kept = scene.known()
     scene.clients.standby()
@@ -105,12 +106,12 @@
     scene.clients.active()
     scene.clients.standby()
     scene.clients.active()
-    scene.loop.skip(5 * SECOND)  # timers of the drains that were called off change nothing
+    scene.loop.skip(5 * SECOND)  # the timers of the cancelled drains have no effect
     kept.send(READY)
     assert b" 200 " in kept.message()[0]
 
 
-def test_sigterm_during_standby_ends_it_and_the_operators_cannot_call_it_back():
+def test_sigterm_during_standby_ends_the_process_and_active_cannot_undo_it():
     scene = Scene()
     job = scene.ask("/charge")
     scene.loop.until(lambda: scene.host.open)
@@ -119,13 +120,13 @@
     scene.clients.active()
     scene.loop.skip(2 * SECOND)
     assert not scene.loop.stopped
-    done(scene, "t1")
+    finish(scene, "t1")
     assert b" 200 " in job.message()[0]
     job.close()
     scene.loop.until(lambda: scene.loop.stopped)
 
 
-def test_what_connects_late_in_a_drain_is_not_held_idle():
+def test_a_connection_that_arrives_late_in_a_drain_is_not_kept_idle():
     scene = Scene()
     scene.clients.standby()
     scene.loop.skip(STANDBY_IDLE + 50_000)
@@ -137,7 +138,7 @@
     scene.gone(silent)
 
 
-def test_a_job_of_twenty_seconds_lasts_through_a_drain_and_a_reload_in_it():
+def test_a_job_of_twenty_seconds_survives_a_drain_and_a_reload_during_it():
     scene = Scene()
     settings = scene.host._settings
     slow = replace(settings, classes=[replace(cls, give_up=30 * SECOND) for cls in settings.classes])
@@ -146,10 +147,10 @@
     scene.take("t1")
     scene.clients.standby()
     scene.loop.skip(10 * SECOND)
-    scene.parts.adopt(settings)  # shorter for who comes next; neither the drain nor this job hears of it
+    scene.parts.adopt(settings)  # shorter limits for new jobs; neither the drain nor this job is affected
     assert not scene.clients.lifecycle.ready
     scene.loop.skip(10 * SECOND)
-    done(scene, "t1")
+    finish(scene, "t1")
     head, body = client.message()
     assert b" 200 " in head and b"connection: close" in head.lower() and body == b"r"
     assert scene.shown() == {"answered.charge": 1, "sends": 1, "cluster_size": 1}
--- a/tests/net/test_main.py
+++ b/tests/net/test_main.py
@@ -1,4 +1,4 @@
-"""The program as users start it, with the example's configuration and toy server, until SIGTERM."""
+"""Tests the program as users start it, with the examples' configurations and toy server, until SIGTERM."""
 
 import json
 import os
@@ -15,14 +15,14 @@
 from pulleyroute.__main__ import ensure_descriptors
 
 ROOT = Path(__file__).parent.parent.parent
-HOST = "127.77.13.5"  # an address that nothing else uses
-GIVEN_TIME = 60
+HOST = "127.77.13.5"  # a loopback address that nothing else uses
+TIMEOUT = 60  # seconds
 
 
 def exchange(data):
-    """One request on a connection of its own: the whole answer, or None while nobody listens."""
+    """Send a request on its own connection; return the full answer, or None while no process listens."""
     try:
-        with socket.create_connection((HOST, 8080), timeout=GIVEN_TIME) as sock:
+        with socket.create_connection((HOST, 8080), timeout=TIMEOUT) as sock:
             sock.sendall(data)
             return b"".join(iter(lambda: sock.recv(65536), b""))
     except ConnectionError:
@@ -33,20 +33,20 @@
     return exchange(b"GET %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" % path)
 
 
-def until_line(node, mark):
-    """What the program logs up to the line with this in it."""
+def read_log_until(node, text):
+    """Return the program's log up to and including the line that contains `text`."""
     lines = b""
-    while mark not in lines:
+    while text not in lines:
         line = node.stderr.readline()
-        assert line, "it ended"
+        assert line, "the program ended"
         lines += line
     return lines
 
 
 def until(condition):
-    end = time.monotonic() + GIVEN_TIME
+    end = time.monotonic() + TIMEOUT
     while not (value := condition()):
-        assert time.monotonic() < end, "it did not come"
+        assert time.monotonic() < end, "the condition was not met in time"
         time.sleep(0.02)
     return value
 
@@ -79,24 +79,24 @@
             b"Content-Length: 5\r\nConnection: close\r\n\r\nhello"
         )
         assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b" did hello")
-        # A reload: a file that can't be used changes nothing; a good one moves it to the new discovery,
-        # though the variable names the old one.
+        # A reload with an invalid file changes nothing. With a valid file the program switches to the new
+        # discovery, although the environment variable names the old one.
         path.write_text("{")
         node.send_signal(signal.SIGHUP)
-        log = until_line(node, b"configuration not read again")
+        log = read_log_until(node, b"configuration not read again")
         with socket.create_server((HOST, 0)) as discovery:
-            discovery.settimeout(GIVEN_TIME)
+            discovery.settimeout(TIMEOUT)
             address = "{}:{}".format(*discovery.getsockname())
             path.write_text(json.dumps(json.loads(text) | {"discovery": address, "name": "other"}))
             node.send_signal(signal.SIGHUP)
             with discovery.accept()[0] as call:
                 assert call.recv(65536).startswith(b"GET /api/targets HTTP")
-            log += until_line(node, b"a change of name needs a restart")
+            log += read_log_until(node, b"a change of name needs a restart")
             assert b"configuration read again: discovery %s:" % HOST.encode() in log
         assert get(b"/-/ready").startswith(b"HTTP/1.1 200 ")
         node.send_signal(signal.SIGTERM)
         until(lambda: not (get(b"/-/ready") or b"").startswith(b"HTTP/1.1 200 "))
-        assert node.wait(GIVEN_TIME) == 0
+        assert node.wait(TIMEOUT) == 0
         assert b"all is answered, leaving" in node.stderr.read()
     finally:
         for process in (node, toy):
@@ -104,7 +104,7 @@
             process.wait()
 
 
-def test_the_budget_follows_the_limit_of_the_process(monkeypatch):
+def test_the_budget_respects_the_descriptor_limit_of_the_process(monkeypatch):
     limits = {"now": (256, 512)}
     monkeypatch.setattr(resource, "getrlimit", lambda which: limits["now"])
     monkeypatch.setattr(resource, "setrlimit", lambda which, new: limits.update(now=new))
--- a/tests/net/test_management.py
+++ b/tests/net/test_management.py
@@ -1,4 +1,4 @@
-"""The admin listener, and the metrics behind it held against what scripted peers saw."""
+"""Tests the admin listener, and compares its metrics with what scripted peers observed."""
 
 import random
 from collections import Counter
@@ -10,7 +10,7 @@
 from tests.net.scene import NACK, SECOND, TAKEN, Scene
 
 
-def test_the_four_calls_move_the_service_and_twice_is_as_once():
+def test_the_four_requests_control_the_service_and_are_idempotent():
     scene = Scene()
     assert scene.operate("GET", "/status") == (200, b"serving\n")
     for call, phase in (("/standby", b"standby\n"), ("/active", b"serving\n")):
@@ -35,7 +35,7 @@
         (b"", 408),
     ],
 )
-def test_a_call_that_is_not_in_form_is_named_ends_in_bounded_time_and_does_nothing(data, status):
+def test_a_malformed_request_is_rejected_in_bounded_time_and_has_no_effect(data, status):
     scene = Scene()
     peer = scene.operator(data)
     scene.loop.settle()
@@ -46,30 +46,30 @@
     assert scene.clients.lifecycle.ready and not scene.admin._count
 
 
-def test_callers_that_say_nothing_cannot_keep_a_call_out_nor_can_clients():
+def test_neither_silent_connections_nor_clients_can_block_a_request():
     scene = Scene(most=2)
-    crowd = [scene.operator(b"GET /sta" * (n % 2)) for n in range(3 * MAX_CONNECTIONS)]
+    silent = [scene.operator(b"GET /sta" * (n % 2)) for n in range(3 * MAX_CONNECTIONS)]
     clients = [scene.client() for _ in range(9)]
     peer = scene.operator(b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n")
     scene.loop.settle()
-    for _ in range(20):  # well under the second that an answer may take
+    for _ in range(20):  # well under the 1 s that an answer may take
         scene.loop.skip(40_000)
         scene.loop.settle()
         assert scene.admin._count <= MAX_CONNECTIONS
     assert b" 200 " in peer.message()[0]
-    for each in crowd + clients:
+    for each in silent + clients:
         each.close()
 
 
-def test_a_call_is_answered_while_callers_before_it_linger():
+def test_a_request_is_answered_while_earlier_connections_linger():
     scene = Scene()
-    stay = [scene.operator(b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n") for _ in range(MAX_CONNECTIONS)]
-    for peer in stay:
+    lingering = [scene.operator(b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n") for _ in range(MAX_CONNECTIONS)]
+    for peer in lingering:
         assert b" 200 " in peer.message()[0]
     assert scene.operate("GET", "/status")[0] == 200  # no time has passed
 
 
-def test_names_that_would_break_a_line_are_made_fit_and_a_dropped_class_keeps_its_counts():
+def test_invalid_characters_in_names_are_replaced_and_a_removed_class_keeps_its_counters():
     metrics = Metrics()
     metrics.job_ended("old", JobOutcome.ANSWERED)
     text = metrics.render(["a:b|c\n"], Gauges(1, 2, 3)).decode()
@@ -77,14 +77,14 @@
     assert "app.current:1|g\napp.cluster_size:2|g\napp.cluster_unhealthy:3|g\n" in text
 
 
-def test_every_ending_is_counted_once_under_the_status_that_the_client_got():
-    """Seeded traffic with every ending; what the scripted peers counted has to be what the metrics say."""
+def test_every_outcome_is_counted_once_by_the_status_that_the_client_received():
+    """Seeded traffic with every outcome; the metrics must equal the counts of the scripted peers."""
     rng = random.Random(5)
     scene = Scene(instances=3, **{"max-attempts": 2})
     seen: Counter[str] = Counter()
 
     def carry(client) -> None:
-        """Play the instances' part until the job has its answer, each attempt ending in a drawn way."""
+        """Act as the instances until the job is answered; each attempt gets a randomly drawn outcome."""
         while not client.pull():
             scene.loop.settle()
             for name, listener in scene.runners.items():
@@ -98,15 +98,16 @@
                     request += connection.recv(65536)
                 txn = request.split(b"X-Txn: ")[1].split(b"\r\n")[0].decode()
                 seen["sends"] += 1
-                how = rng.choice(["done", "failed", "returned", "lost", "nack", "reset", "error"])
-                if how in ("done", "failed", "returned", "lost"):
+                outcome = rng.choice(["done", "failed", "returned", "lost", "nack", "reset", "error"])
+                if outcome in ("done", "failed", "returned", "lost"):
                     connection.sendall(TAKEN)
                     scene.loop.settle()
-                    scene.call(id=txn, state=how, result="r", **{"from": name})
-                    scene.call(id=txn, state=how, result="r", **{"from": name})  # said twice: counted once
-                elif how == "nack":
+                    scene.call(id=txn, state=outcome, result="r", **{"from": name})
+                    # A repeated call-back is counted once.
+                    scene.call(id=txn, state=outcome, result="r", **{"from": name})
+                elif outcome == "nack":
                     connection.sendall(NACK)
-                elif how == "error":
+                elif outcome == "error":
                     connection.sendall(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
                 scene.loop.settle()
                 connection.close()
@@ -115,7 +116,7 @@
     names = {"read": "answered", "charge": "answered"}
     for n in range(60):
         path = rng.choice(list(names))
-        if rng.random() < 0.1:  # it stays silent until its time is over
+        if rng.random() < 0.1:  # the instance does not answer before the deadline
             client = scene.ask(f"/{path}", f"t{n}", remaining=500)
             scene.loop.until(lambda: client.pull() or scene.host.open)  # noqa: B023
             scene.loop.settle()
@@ -136,7 +137,7 @@
         seen[f"{how}.{path}"] += 1
         client.close()
     bad = scene.client()
-    bad.send(b"POST /read HTTP/1.1\r\nHost: x\r\n\r\n")  # no id: no job
+    bad.send(b"POST /read HTTP/1.1\r\nHost: x\r\n\r\n")  # without an id there is no job
     bad.message()
     assert scene.shown() == dict(seen) | {"cluster_size": 3} | {
         key: value for key, value in scene.shown().items() if key == "cluster_unhealthy"
@@ -144,7 +145,7 @@
     assert {f"{how}.{path}" for how in ("answered", "deferred", "errored") for path in names} <= set(seen)
 
 
-def test_the_gauges_are_what_their_owners_say():
+def test_the_gauges_show_the_current_values():
     scene = Scene(instances=3)
     clients = [scene.ask("/charge", f"t{n}") for n in range(4)]
     scene.loop.until(lambda: scene.host.open == 4)
@@ -155,7 +156,7 @@
     scene.discovery.load_known(scene.table("s-0", "s-1", revision=2))
     assert scene.shown()["cluster_size"] == 2
     scene.discovery.list.apply(scene.table("s-1", phase="leaving", complete=False, revision=3), cached=False)
-    assert scene.shown()["cluster_size"] == 2  # it still finishes what it has
+    assert scene.shown()["cluster_size"] == 2  # a leaving instance still finishes its jobs
     worker = scene.host._dispatcher.workers[b"s-0"]
     assert "cluster_unhealthy" not in scene.shown()
     scene.host._dispatcher.doubt(worker)
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -1,4 +1,4 @@
-"""New settings at SIGHUP: taken whole between two events or not at all; open jobs keep what they had."""
+"""Tests a reload at SIGHUP: new settings apply as a whole or not at all, and open jobs keep the old ones."""
 
 import copy
 import json
@@ -26,18 +26,19 @@
 
 
 def adopt(scene, **changes):
-    """What a reload does with its settings, here those of the scene but for the changes."""
+    """Apply the scene's settings with `changes`, as a reload does."""
     scene.parts.adopt(read_settings({**INFO, **changes})[0])
 
 
 def classes(**effects):
+    """Return job classes for the settings, from names and effects."""
     return [
         {"name": name, "effect": effect, "aim": 1000000, "give-up": 5000000}
         for name, effect in effects.items()
     ]
 
 
-def test_a_new_class_serves_a_dropped_one_is_unknown_and_open_jobs_end_as_they_came():
+def test_a_new_class_is_served_a_removed_one_is_unknown_and_open_jobs_keep_theirs():
     scene = Scene()
     old = scene.ask("/charge", "t1")
     scene.loop.until(lambda: scene.host.open)
@@ -53,9 +54,9 @@
 
 
 @pytest.mark.parametrize("before", ["non_idempotent", "read_like"])
-def test_an_open_job_keeps_its_effect_and_a_new_one_has_the_new(before):
-    # Guards the rule on repeats: a charge that may have run is not sent again because a file says by now that
-    # its class may be.
+def test_an_open_job_keeps_its_effect_and_a_new_job_has_the_new_one(before):
+    # A charge that may have run must not be repeated just because a new configuration allows repeats of its
+    # class.
     after = {"non_idempotent": "read_like", "read_like": "non_idempotent"}[before]
     scene = Scene(instances=3)
     adopt(scene, classes=classes(x=before))
@@ -81,15 +82,15 @@
     adopt(scene, caps={**INFO["caps"], "max-attempts": after})
     job = scene.host._by_txn["t1"]
     while scene.host.open:
-        out = [e for e in job.attempts if not e.over]
-        if out:  # it is connected and reset: it may be repeated
-            scene.runners[out[0].instance.decode()].accept().close()
-            scene.loop.until(lambda e=out[0]: e.over)
+        open_attempts = [attempt for attempt in job.attempts if not attempt.over]
+        if open_attempts:  # the instance accepts and resets the connection, so a repeat is allowed
+            scene.runners[open_attempts[0].instance.decode()].accept().close()
+            scene.loop.until(lambda attempt=open_attempts[0]: attempt.over)
         scene.loop.skip(20_000)
     assert len(job.attempts) == before and b" 502 " in client.message()[0]
 
 
-def test_zones_and_kinds_keep_their_numbers_when_the_lists_change_their_order():
+def test_zones_and_kinds_keep_their_numbers_when_the_settings_reorder_them():
     scene = Scene()
     before = scene.host._dispatcher.workers[b"s-0"]
     adopt(
@@ -118,6 +119,7 @@
 
 
 def state(parts):
+    """Return everything that a reload may change."""
     return (
         parts.host._settings,
         parts.clients._settings,
@@ -130,8 +132,8 @@
     )
 
 
-def sent(parts, path: Path, text: str):
-    """Whether a reload took the file; either way nothing may be half done."""
+def reload_file(parts, path: Path, text: str):
+    """Reload with a file of this text; return whether it was applied. Nothing may be applied in part."""
     before, counts = copy.deepcopy(state(parts)), (parts.metrics.conf_loaded, parts.metrics.conf_invalid)
     path.write_text(text)
     reload(parts)
@@ -140,14 +142,15 @@
         assert state(parts) == before
         return False
     assert after == (counts[0] + 1, counts[1])
-    wanted = load_config(os.environ)
-    assert state(parts)[0] == state(parts)[1] == state(parts)[2] == parts.discovery.adopt(wanted.settings)
-    assert state(parts)[3] == wanted.discovery
+    expected = load_config(os.environ)
+    assert state(parts)[0] == state(parts)[1] == state(parts)[2] == parts.discovery.adopt(expected.settings)
+    assert state(parts)[3] == expected.discovery
     return True
 
 
-def test_the_budgets_of_the_start_are_those_of_a_reload(running):
-    # Failure: a floor that is meant for two processes gave one of few descriptors more than its limit.
+def test_the_budgets_after_a_reload_equal_those_of_the_start(running):
+    # Regression: a lower bound meant for two processes gave one process with few descriptors more than its
+    # limit.
     config = replace(running[0].config, sockets=64, management=("127.0.0.1", 0))
     parts = build(config, StillLoop())
     before = parts.instances._most, parts.clients._most, parts.clients._most_jobs
@@ -155,12 +158,12 @@
     assert (parts.instances._most, parts.clients._most, parts.clients._most_jobs) == before
 
 
-def paths(value, at=()):
-    """The place of every key and item of a JSON value."""
+def paths(value, prefix=()):
+    """Yield the path of every key and item of a JSON value."""
     for key, item in value.items() if isinstance(value, dict) else enumerate(value):
-        yield (*at, key)
+        yield (*prefix, key)
         if isinstance(item, dict | list):
-            yield from paths(item, (*at, key))
+            yield from paths(item, (*prefix, key))
 
 
 PATHS = list(paths(GOOD))
@@ -168,6 +171,7 @@
 
 
 def changed(path, value):
+    """Return a valid file with the value at `path` replaced, or removed if `value` is None."""
     data = copy.deepcopy(GOOD)
     inner = data
     for key in path[:-1]:
@@ -185,10 +189,10 @@
         st.integers(0, len(json.dumps(GOOD)) - 1).map(lambda at: json.dumps(GOOD)[:at]),
     )
 )
-def test_a_mutilated_file_is_taken_whole_or_changes_nothing(running, text):
+def test_a_damaged_file_applies_as_a_whole_or_changes_nothing(running, text):
     parts, path = running
-    sent(parts, path, text)
-    assert sent(parts, path, json.dumps(GOOD)) or "limits" in text
+    reload_file(parts, path, text)
+    assert reload_file(parts, path, json.dumps(GOOD)) or "limits" in text
 
 
 @pytest.mark.parametrize(
@@ -207,6 +211,6 @@
         changed(("settings", "classes", 1, "name"), "read"),
     ],
 )
-def test_what_lacks_a_key_or_has_a_senseless_limit_is_turned_down(running, text):
+def test_a_file_without_a_key_or_with_an_invalid_limit_is_rejected(running, text):
     parts, path = running
-    assert not sent(parts, path, text)
+    assert not reload_file(parts, path, text)
