--- a/pulleyroute/net/discovery.py
+++ b/pulleyroute/net/discovery.py
@@ -148,8 +148,10 @@
         """Fetch the full list once."""
         self._loop.spawn(self._run_fetch(), "fetch")
 
-    def _report_failure(self, call: str, reason: object) -> None:
-        logger.bind(event="discovery.failed", call=call).warning("discovery: {} failed: {}", call, reason)
+    def _report_failure(self, operation: str, reason: object) -> None:
+        logger.bind(event="discovery.failed", call=operation).warning(
+            "discovery: {} failed: {}", operation, reason
+        )
         self.on_update(WorkerList(self.version, ListKind.FAILED, []))
 
     def _call(self, target: bytes) -> Coroutine[Stream]:
