--- a/pulleyroute/__main__.py
+++ b/pulleyroute/__main__.py
@@ -27,9 +27,9 @@
 from pulleyroute.net.instance import Instances
 from pulleyroute.net.lifecycle import Phase
 from pulleyroute.net.loop import Loop
-from pulleyroute.net.management import DESCRIPTORS, Management, verbs
+from pulleyroute.net.management import RESERVED_DESCRIPTORS, AdminListener, admin_routes
 from pulleyroute.net.metrics import Gauges, Metrics
-from pulleyroute.net.process import catch_signals, descriptors, heeding, on_error
+from pulleyroute.net.process import catch_signals, ensure_descriptors, handle_signals, on_error
 
 # How the descriptors are shared out. What is left is for discovery, the listener and the process itself.
 RESERVE = 24
@@ -151,7 +151,7 @@
         listening(config.listen, clients.listener.listen)
         discovery.freshness.when_usable(clients.lifecycle.serve)
     if config.management is not None:
-        listening(config.management, Management(loop, pool, verbs(parts)).listen)
+        listening(config.management, AdminListener(loop, pool, admin_routes(parts)).listen)
     if listener is not None:
         meeting = place(os.environ.get("TMPDIR") or "/tmp", listener)
         handover = Handover(loop, meeting, clients, host, discovery, parts)
@@ -169,12 +169,12 @@
 
 def aside(config: Config) -> int:
     """How many descriptors are for the process itself and the admin listener."""
-    return RESERVE + (DESCRIPTORS if config.management is not None else 0)
+    return RESERVE + (RESERVED_DESCRIPTORS if config.management is not None else 0)
 
 
 def budget_of(config: Config) -> int:
     """How many descriptors are for clients and instances."""
-    return descriptors(config.sockets) - aside(config)
+    return ensure_descriptors(config.sockets) - aside(config)
 
 
 def reload(parts: Parts) -> None:
@@ -201,7 +201,7 @@
         if getattr(config, name) != getattr(old, name):
             logger.warning("a change of {} needs a restart", name)
     parts.metrics.conf_loaded += 1
-    parts.discovery.move(config.discovery)
+    parts.discovery.set_address(config.discovery)
     old.settings = parts.adopt(config.settings)
     old.discovery, old.sockets, old.memory_mb = config.discovery, config.sockets, config.memory_mb
     old.shape = config.shape
@@ -219,7 +219,7 @@
     except (ConfigError, ValueError) as exc:
         print(f"pulleyroute: {exc}", file=sys.stderr)
         return 2
-    loop.spawn(heeding(source, lambda: reload(parts), parts.clients.stop), "signals")
+    loop.spawn(handle_signals(source, lambda: reload(parts), parts.clients.stop), "signals")
     gc.freeze()
     logger.bind(event="started").info(
         "pulleyroute {} as {} on {}:{}", __version__, config.name, *config.listen
--- a/pulleyroute/net/downstream.py
+++ b/pulleyroute/net/downstream.py
@@ -23,7 +23,7 @@
 from pulleyroute.net.lifecycle import Lifecycle
 from pulleyroute.net.listener import Listener
 from pulleyroute.net.loop import PEER_CLOSED, READABLE, Coroutine, Loop, Task, Wait, WaitResult
-from pulleyroute.net.metrics import Ended, Metrics, by_status
+from pulleyroute.net.metrics import JobOutcome, Metrics, outcome_of_status
 from pulleyroute.net.requests import Answer, CallbackState, Ending, InstanceCallback, Job, Request
 
 READY_PATH = b"/-/ready"
@@ -169,7 +169,7 @@
 
     def hand_over_clients(self, send_connection: SendConnection) -> None:
         """Stop accepting and move the connections to the process that has taken over."""
-        if self.lifecycle.hand(self._loop.now()):
+        if self.lifecycle.hand_over(self._loop.now()):
             self._send_connection = send_connection
             self.listener.pause()
             self._schedule_phase_checks()
@@ -238,18 +238,18 @@
         self._start(connection, first)
 
     def _schedule_phase_checks(self) -> None:
-        for at in self.lifecycle.due(self._loop.now()):
+        for at in self.lifecycle.pending_deadlines(self._loop.now()):
             self._loop.call_at(at, self._apply_phase)
 
     def _apply_phase(self) -> None:
         """Close the connections that the current time of the lifecycle no longer permits."""
         now = self._loop.now()
-        if now >= self.lifecycle.idle_from:
+        if now >= self.lifecycle.close_idle_from:
             # Each is woken rather than closed, so that a request that has arrived unread is still served.
             for connection in [*self._silent, *self._idle]:
                 if connection.task is not None:
                     connection.task.wake()
-        if now >= self.lifecycle.cut_from:
+        if now >= self.lifecycle.abort_incomplete_from:
             reading = [
                 c for c in self._connections if not c.processing and c.shed_queue is not self._lingering
             ]
@@ -261,7 +261,11 @@
 
     def _finish_if_drained(self) -> None:
         """Call `on_drained` once the process may stop and no request or connection is left."""
-        if self.lifecycle.quiet(self._loop.now()) and not self._host.open_requests and not self._connections:
+        if (
+            self.lifecycle.may_exit(self._loop.now())
+            and not self._host.open_requests
+            and not self._connections
+        ):
             logger.bind(event="stopped").info("all requests are answered, stopping")
             self.on_drained()
 
@@ -330,7 +334,7 @@
                     else:
                         until = connection.accepted_at + NEW_CLIENT_REQUEST_TIMEOUT_US
                         self._set_shed_queue(connection, self._partial)
-                    if self._loop.now() >= self.lifecycle.cut_from:
+                    if self._loop.now() >= self.lifecycle.abort_incomplete_from:
                         until = min(until, self._loop.now() + DRAIN_REQUEST_TIMEOUT_US)
                     message = yield from stream.request(until)
                     self._set_shed_queue(connection, None)
@@ -360,7 +364,7 @@
             self._set_shed_queue(connection, None)
             self._connections.discard(connection)
             stream.close()
-            if self.lifecycle.quiet(self._loop.now()):
+            if self.lifecycle.may_exit(self._loop.now()):
                 self._loop.call_at(self._loop.now(), self._finish_if_drained)
 
     def _wait_first_byte(self, connection: Connection) -> Coroutine[bool]:
@@ -382,7 +386,7 @@
                 count = stream.read_available()
                 if count is not None:
                     return count > 0
-                if self._loop.now() >= self.lifecycle.idle_from:
+                if self._loop.now() >= self.lifecycle.close_idle_from:
                     # With the full time of a new client, connections accepted now would hold up the drain.
                     until = min(until, connection.accepted_at + DRAIN_REQUEST_TIMEOUT_US)
                 woken = yield Wait(stream.fileno(), READABLE, until)
@@ -465,11 +469,11 @@
         ):
             # The call-backs of instances need descriptors, or no job would ever end. Clients that disconnect
             # at once and return could otherwise fill the memory.
-            self._metrics.ended(name, Ended.DEFERRED)
+            self._metrics.job_ended(name, JobOutcome.DEFERRED)
             return (yield from self._respond(stream, 503, b"full", [retry_after(RETRY_AFTER_WHEN_FULL_US)]))
         now = self._loop.now()
         if self.lifecycle.refuses(now):
-            self._metrics.ended(name, Ended.DEFERRED)
+            self._metrics.job_ended(name, JobOutcome.DEFERRED)
             # On standby other dispatchers serve: the client need not wait before it tries one of them.
             return (yield from self._respond(stream, 503, self.lifecycle.phase.value.encode(), close=True))
         # A request that arrives late in the shutdown is answered in any case before SIGKILL ends the process.
@@ -522,7 +526,7 @@
         status, body, headers = _RESPONSES[answer.ending](answer)
         going = yield from self._respond(stream, status, body, headers, close=stream.bytes_discarded)
         # A job counts as ended only once the last byte of its answer is written.
-        self._metrics.ended(job.cls.name, by_status(status))
+        self._metrics.job_ended(job.cls.name, outcome_of_status(status))
         return going
 
 
--- a/pulleyroute/net/host.py
+++ b/pulleyroute/net/host.py
@@ -105,7 +105,7 @@
         self.open_requests = 0  # not answered yet
         self.faults = 0  # exceptions raised by the decision module
         self.retired = False  # takes no more requests; the module's timers stop once no job is left
-        discovery.tell = self.post
+        discovery.on_update = self.post
         instances.ended = self.settle
         instances.gate = self._may_begin
         instances.rejected = self._reject
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -27,9 +27,9 @@
 from pulleyroute.net.instance import Instances
 from pulleyroute.net.lifecycle import Lifecycle, Phase
 from pulleyroute.net.loop import Loop
-from pulleyroute.net.management import DESCRIPTORS, Management, verbs
-from pulleyroute.net.metrics import Ended, Gauges, Metrics
-from pulleyroute.net.process import descriptors
+from pulleyroute.net.management import RESERVED_DESCRIPTORS, AdminListener, admin_routes
+from pulleyroute.net.metrics import Gauges, JobOutcome, Metrics
+from pulleyroute.net.process import ensure_descriptors
 from pulleyroute.net.tls import Files, client_context, server_context
 from pulleyroute.service.changes import Plan, plan
 from pulleyroute.service.withheld import FleetHost, Withheld
@@ -79,7 +79,11 @@
         self._marked: set[tuple[str, str]] = set()
         limits = config.limits
         sockets, memory = (limits.sockets, limits.memory) if limits is not None else (1024, 256 * 1024**2)
-        self._budget = descriptors(sockets) - RESERVE - (DESCRIPTORS if config.management is not None else 0)
+        self._budget = (
+            ensure_descriptors(sockets)
+            - RESERVE
+            - (RESERVED_DESCRIPTORS if config.management is not None else 0)
+        )
         self.metrics = Metrics()
         self._lifecycle = Lifecycle()
         self.status = 0  # that the process is to end with
@@ -89,7 +93,7 @@
         self.apply(config)
         if config.management is not None:
             try:
-                Management(loop, self._buffers, verbs(self)).listen(config.management)
+                AdminListener(loop, self._buffers, admin_routes(self)).listen(config.management)
             except OSError as exc:
                 raise CannotServe(
                     "management: cannot listen on {}:{}: {}".format(*config.management, exc.strerror)
@@ -183,8 +187,8 @@
 
     def jobs(self) -> tuple[int, int]:
         """How many jobs were served, and how many have ended, since the start."""
-        counts = [self.metrics.counts(name) for name in self.classes()]
-        return sum(each[Ended.ANSWERED] for each in counts), sum(sum(each.values()) for each in counts)
+        counts = [self.metrics.outcome_counts(name) for name in self.classes()]
+        return sum(each[JobOutcome.ANSWERED] for each in counts), sum(sum(each.values()) for each in counts)
 
     # Configurations
 
@@ -286,7 +290,7 @@
         if isinstance(back, Calls):
             back.host = host
         withheld = Withheld(host.post)
-        discovery.tell = withheld.hear
+        discovery.on_update = withheld.hear
         running = Running(pool, settings, discovery, host, back, withheld)
         if pool.instance:
             discovery.load_known(known_list(pool, running.revision))
@@ -303,7 +307,7 @@
             running.revision += 1
             running.discovery.load_known(known_list(pool, running.revision))
         if pool.discovery is not None and pool.discovery != running.pool.discovery:
-            running.discovery.move(pool.discovery)
+            running.discovery.set_address(pool.discovery)
         if isinstance(running.back, Calls):
             running.back.context = context
             running.back.server_name = pool.tls.server_name if pool.tls is not None else ""
--- a/tests/net/test_history.py
+++ b/tests/net/test_history.py
@@ -126,7 +126,7 @@
         elif kind == "table":
             self.revision += 1
             table = scene.table(f"s-{args[0]}", phase=args[1], complete=False, revision=self.revision)
-            scene.discovery.tell(scene.discovery.list.take(table, cached=False))
+            scene.discovery.on_update(scene.discovery.list.apply(table, cached=False))
         elif kind == "pass":
             for _ in range(0, args[0], 50):
                 scene.loop.skip(50 * MS)
--- a/tests/net/test_sizes.py
+++ b/tests/net/test_sizes.py
@@ -6,7 +6,7 @@
 
 from pulleyroute.net.http import BODY_LIMIT_BYTES
 from tests.net.scene import Scene
-from tests.net.test_discovery import CHUNKS, chunk
+from tests.net.test_discovery import CHUNKED_HEAD, chunk
 from tests.net.test_handover import Process, old, passing
 
 __all__ = ["old"]  # a fixture
@@ -33,7 +33,7 @@
     send(
         scene,
         peer,
-        CHUNKS
+        CHUNKED_HEAD
         + b"".join(chunk(word[at : at + BODY_LIMIT_BYTES]) for at in range(0, len(word), BODY_LIMIT_BYTES)),
     )
     scene.loop.until(lambda: scene.discovery.version == 2)
@@ -53,7 +53,7 @@
 
 
 def test_1024_instances_go_from_one_process_to_the_next(old):
-    old.discovery.tell(old.discovery.list.take(long_list(old), cached=False))
+    old.discovery.on_update(old.discovery.list.apply(long_list(old), cached=False))
     rules = old.host._dispatcher
     doubted = f"{'é' * LONG}-{COUNT - 1}".encode()
     rules.eject(rules.workers[doubted])
