--- a/pulleyroute/emulator/faulty.py
+++ b/pulleyroute/emulator/faulty.py
@@ -13,7 +13,7 @@
 
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.http import Headers
-from pulleyroute.net.http2 import Code, Http2, Limits, Owner, Stream
+from pulleyroute.net.http2 import Code, Http2Connection, Limits, Stream, StreamHandler
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Wait
 
 HEAD: Headers = [(b":status", b"200"), (b"content-type", b"application/grpc")]
@@ -69,7 +69,7 @@
     name: str
     script: Callable[[str, int], Act]
     taken: list[Taken] = field(default_factory=list)
-    connections: set[Http2] = field(default_factory=set)
+    connections: set[Http2Connection] = field(default_factory=set)
     up: bool = False
     address: tuple[str, int] = ("127.0.0.1", 0)
     _listener: socket.socket | None = None
@@ -106,7 +106,7 @@
                     break
                 sock.setblocking(False)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                connection = Http2(
+                connection = Http2Connection(
                     self.loop,
                     self._buffers,
                     sock,
@@ -119,7 +119,7 @@
                 self.connections.add(connection)
                 connection.start()
 
-    def _opened(self, stream: Stream, headers: Headers, ended: bool) -> Owner:
+    def _opened(self, stream: Stream, headers: Headers, ended: bool) -> StreamHandler:
         seen = {bytes(name): bytes(value) for name, value in headers}
         request = seen.get(b"x-id", b"").decode()
         attempts = int(seen.get(b"grpc-previous-rpc-attempts", b"0"))
@@ -160,7 +160,7 @@
 
     def sent(self, count: int) -> None: ...
 
-    def broke(self, code: int | None, never_ran: bool, why: str) -> None:
+    def aborted(self, code: int | None, never_ran: bool, why: str) -> None:
         if not self._taken.told:
             self._taken.given_up = -1 if code is None else code
 
@@ -214,13 +214,13 @@
             (each._taken, each._stream) for each in _attempts(connection) if each._stream.id > last
         ]:
             taken.told = taken.dropped = True
-            connection.forget(stream)
+            connection.abandon(stream)
         with contextlib.suppress(OSError):
             connection.inject(GoAwayFrame(0, last_stream_id=last, error_code=0).serialize())
 
 
-def _attempts(connection: Http2) -> list[_Attempt]:
-    return [stream.owner for stream in connection.streams if isinstance(stream.owner, _Attempt)]
+def _attempts(connection: Http2Connection) -> list[_Attempt]:
+    return [stream.handler for stream in connection.streams if isinstance(stream.handler, _Attempt)]
 
 
 def draw(rng: random.Random) -> Act:
--- a/pulleyroute/grpc/back.py
+++ b/pulleyroute/grpc/back.py
@@ -18,7 +18,7 @@
 from pulleyroute.net.discovery import DiscoveryClient
 from pulleyroute.net.host import Host
 from pulleyroute.net.http import Broken, Crowded, Headers, Late, dial
-from pulleyroute.net.http2 import Code, Http2, Limits
+from pulleyroute.net.http2 import Code, Http2Connection, Limits
 from pulleyroute.net.instance import Attempt, Ended, Gate, Probed, Rejected
 from pulleyroute.net.loop import Coroutine, Loop, Task, Wait
 from pulleyroute.net.metrics import Metrics
@@ -35,7 +35,7 @@
 class Site:
     """One instance as seen from here."""
 
-    connections: list[Http2] = field(default_factory=list)
+    connections: list[Http2Connection] = field(default_factory=list)
     waiting: dict[Attempt, None] = field(default_factory=dict)
     connecting: Task | None = None
     doubted: bool = False  # the last connection did not come up
@@ -86,7 +86,7 @@
         upstream = Upstream(call, attempt, self._finished, self.message_bytes)
         self._upstreams[attempt] = upstream
         site.out += 1
-        connection = next((c for c in site.connections if c.room and c.ready), None)
+        connection = next((c for c in site.connections if c.has_capacity and c.ready), None)
         if connection is not None:
             self._open(connection, upstream)
             return
@@ -98,7 +98,7 @@
         site.waiting[attempt] = None
         self._connect(attempt.instance, site)
 
-    def _open(self, connection: Http2, upstream: Upstream) -> None:
+    def _open(self, connection: Http2Connection, upstream: Upstream) -> None:
         attempt, call = upstream.attempt, upstream.call
         if not self.gate(attempt):  # what allowed it may have passed while the connection came up
             self._let_go(attempt)
@@ -136,7 +136,7 @@
         """An instance's last word on an attempt; it may have asked to be left alone for a while first."""
         attempt = upstream.attempt
         stream = upstream.stream
-        if stream is not None and stream.open and not stream.ended_here:
+        if stream is not None and stream.open and not stream.local_closed:
             # An answer before the request's end: nobody reads the rest. Not before this turn's events are
             # over.
             self._loop.call_at(self._loop.now(), lambda: stream.reset(Code.NO_ERROR))
@@ -188,7 +188,7 @@
     def _connecting(self, instance: WorkerId, site: Site) -> Coroutine[None]:
         """Bring a connection up to the peer's SETTINGS; then let what waits for it go out."""
         limit = self._loop.now() + (self._settings.connect_timeout or CONNECT_TIME)
-        connection: Http2 | None = None
+        connection: Http2Connection | None = None
         try:
             member = self._discovery.member(instance)
             if member is None:
@@ -197,8 +197,8 @@
             tls = None
             if self.context is not None:
                 tls = Tls(self.context, False, self.server_name or member.address[0])
-            connection = Http2(
-                self._loop, self._pool, sock, False, self.limits, tls, gone=self._gone(instance)
+            connection = Http2Connection(
+                self._loop, self._pool, sock, False, self.limits, tls, on_closed=self._gone(instance)
             )
             task = site.connecting
             if task is not None:
@@ -231,7 +231,7 @@
         if not self._sweeping:
             self._sweeping = True
             self._loop.call_at(self._loop.now() + SWEEP, self._sweep)
-        while site.waiting and connection.room:
+        while site.waiting and connection.has_capacity:
             attempt = next(iter(site.waiting))
             del site.waiting[attempt]
             self._open(connection, self._upstreams[attempt])
@@ -244,7 +244,7 @@
                 self.attempt(attempt)
 
     def _gone(self, instance: WorkerId):  # type: ignore[no-untyped-def]
-        def gone(connection: Http2, why: str) -> None:
+        def gone(connection: Http2Connection, why: str) -> None:
             site = self._sites.get(instance)
             if site is not None and connection in site.connections:
                 site.connections.remove(connection)
--- a/pulleyroute/grpc/call.py
+++ b/pulleyroute/grpc/call.py
@@ -99,7 +99,7 @@
         if self.upstream is not None:
             self.upstream.stream_consumed(count)
 
-    def broke(self, code: int | None, never_ran: bool, why: str) -> None:
+    def aborted(self, code: int | None, never_ran: bool, why: str) -> None:
         """The client has cancelled, or is gone: its instance hears of it too."""
         self.gone = True
         if not self.done:
@@ -188,7 +188,7 @@
         self._conclude(status)
         if self._begun:
             if cut:
-                self.stream.cut()
+                self.stream.discard_pending()
             self.stream.finish(closing(status, text, advice or None))
         else:
             self.stream.send_headers(failure(status, text, advice or None), end=True)
@@ -308,7 +308,7 @@
         self.gone += count
         self.call.forwarded(self.gone)
 
-    def broke(self, code: int | None, never_ran: bool, why: str) -> None:
+    def aborted(self, code: int | None, never_ran: bool, why: str) -> None:
         if self._over:
             return
         self._over = True
--- a/pulleyroute/grpc/front.py
+++ b/pulleyroute/grpc/front.py
@@ -19,7 +19,7 @@
 from pulleyroute.net.buffers import BufferPool, Ledger
 from pulleyroute.net.host import Host
 from pulleyroute.net.http import Headers
-from pulleyroute.net.http2 import FLOOD, Http2, Limits, Owner, Stream
+from pulleyroute.net.http2 import FLOOD_REASON, Http2Connection, Limits, Stream, StreamHandler
 from pulleyroute.net.listener import Listener
 from pulleyroute.net.loop import Loop
 from pulleyroute.net.metrics import Ended, Metrics
@@ -79,7 +79,7 @@
         self.name = name
         self.ledger = Ledger(limits.memory)
         self.calls: set[Call] = set()
-        self.connections: set[Http2] = set()
+        self.connections: set[Http2Connection] = set()
         self._metrics = metrics or Metrics()
         self._listener = Listener(loop, f"listener {name}", self._room, self._shed, self._welcome)
         self._unread: dict[Stream, int] = {}  # ended calls whose answers wait for their clients, until when
@@ -137,22 +137,22 @@
 
     def _welcome(self, sock: socket.socket) -> None:
         tls = Tls(self.context, True) if self.context is not None else None
-        connection = Http2(
+        connection = Http2Connection(
             self._loop, self._pool, sock, True, self.limits.connection, tls, self._opened, self._gone
         )
         self.connections.add(connection)
         connection.start()
 
-    def _gone(self, connection: Http2, why: str) -> None:
+    def _gone(self, connection: Http2Connection, why: str) -> None:
         self.connections.discard(connection)
-        if why.startswith(FLOOD):
+        if why.startswith(FLOOD_REASON):
             logger.bind(event="client.flood", listener=self.name).warning("connection ended: {}", why)
         elif log.debugging:
             logger.bind(event="client.connection_ended").debug("connection ended: {}", why)
 
     # Calls
 
-    def _opened(self, stream: Stream, headers: Headers, ended: bool) -> Owner:
+    def _opened(self, stream: Stream, headers: Headers, ended: bool) -> StreamHandler:
         try:
             if (
                 sum(len(name) + len(value) + 32 for name, value in headers)
@@ -170,7 +170,7 @@
                 stream.send_headers(failure(exc.status, str(exc)), end=True)
             return Ignored(stream)
 
-    def _call(self, stream: Stream, head: Head, ended: bool) -> Owner:
+    def _call(self, stream: Stream, head: Head, ended: bool) -> StreamHandler:
         target = self.routes.find(head.service, head.method)
         if target is None:
             raise BadHead(Status.UNIMPLEMENTED, "no route takes this method")
@@ -186,7 +186,7 @@
         )
         call.replay.ended = ended
         self.calls.add(call)
-        stream.owner = call
+        stream.handler = call
         request = Request(
             txn=f"{self.name}-{next(_NUMBERS)}",
             job_class=target.job_class,
@@ -207,7 +207,7 @@
         if call.job is not None and not call.gone:
             how = Ended.ANSWERED if status is Status.OK else Ended.DEFERRED if call.refused else Ended.ERRORED
             self._metrics.ended(call.job.cls.name, how)
-        if call.stream.waiting and call.stream.open and call.job is not None:
+        if call.stream.pending_bytes and call.stream.open and call.job is not None:
             self._unread[call.stream] = max(call.job.deadline, self._loop.now()) + GRACE
             if len(self._unread) == 1:
                 self._loop.call_at(self._loop.now() + LOOK, self._look)
@@ -246,4 +246,4 @@
 
     def ended(self, trailers: Headers) -> None: ...
     def sent(self, count: int) -> None: ...
-    def broke(self, code: int | None, never_ran: bool, why: str) -> None: ...
+    def aborted(self, code: int | None, never_ran: bool, why: str) -> None: ...
--- a/pulleyroute/grpc/health.py
+++ b/pulleyroute/grpc/health.py
@@ -77,10 +77,10 @@
 
     def tell(self) -> None:
         """The state has changed."""
-        if self._service is not None and self._stream.waiting == 0:
+        if self._service is not None and self._stream.pending_bytes == 0:
             self._stream.write(health_answer(self._health.status(self._service)))
 
     def sent(self, count: int) -> None: ...
 
-    def broke(self, code: int | None, never_ran: bool, why: str) -> None:
+    def aborted(self, code: int | None, never_ran: bool, why: str) -> None:
         self._health.forget(self)
--- a/pulleyroute/lab/campaign.py
+++ b/pulleyroute/lab/campaign.py
@@ -25,7 +25,7 @@
 from pulleyroute.net.discovery import DiscoveryClient
 from pulleyroute.net.host import Host
 from pulleyroute.net.http import Headers
-from pulleyroute.net.http2 import Code, Http2, Limits, Stream
+from pulleyroute.net.http2 import Code, Http2Connection, Limits, Stream
 
 SECOND = 1_000_000
 # "gRPC over HTTP2", errors: the judge's own copy, by HTTP/2 code.
@@ -94,7 +94,7 @@
 
     def sent(self, count: int) -> None: ...
 
-    def broke(self, code: int | None, never_ran: bool, why: str) -> None:
+    def aborted(self, code: int | None, never_ran: bool, why: str) -> None:
         if code == 0 and self._asked.endings:
             return  # RST_STREAM with NO_ERROR after a whole answer (RFC 9113, 8.1)
         if not self._asked.cancelled:
@@ -136,7 +136,7 @@
             self._buffers,
             self.discovery,
             self.settings,
-            Limits(idle=0, ping_after=5 * SECOND, ping_patience=2 * SECOND),
+            Limits(idle=0, ping_after=5 * SECOND, ping_timeout=2 * SECOND),
             50,
         )
         self.host = self.back.host = Host(self.loop, self.settings, seed, self.discovery, self.back)
@@ -194,17 +194,17 @@
         self.loop.run_until(lambda: False, 2 * SECOND)
         return self._judge(done)
 
-    def _connect(self) -> Http2:
+    def _connect(self) -> Http2Connection:
         sock = socket.create_connection(self.front.address)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        client = Http2(self.loop, self._buffers, sock, False, Limits(idle=0, ping_after=0))
+        client = Http2Connection(self.loop, self._buffers, sock, False, Limits(idle=0, ping_after=0))
         client.start()
         return client
 
     def _call(
         self,
-        clients: list[Http2],
+        clients: list[Http2Connection],
         which: int,
         asked: Asked,
         size: tuple[int, int],
--- a/pulleyroute/net/http2.py
+++ b/pulleyroute/net/http2.py
@@ -1,10 +1,10 @@
 """HTTP/2 on a non-blocking socket: h2 frames and keeps the states, one coroutine a connection reads and
 writes.
 
-Both roles. A stream's owner hears of it through `Owner`; bytes of DATA that an owner was given count against
-the stream's window until `Stream.consumed`, so whoever reads slowly holds back the sender. The connection's
-own window is given back at once: one stalled stream must not stall the others. So a connection holds at most
-its streams' windows.
+Both roles. A stream's owner hears of it through `StreamHandler`; bytes of DATA that an owner was given count
+against the stream's window until `Stream.consumed`, so whoever reads slowly holds back the sender. The
+connection's own window is given back at once: one stalled stream must not stall the others. So a connection
+holds at most its streams' windows.
 """
 
 from __future__ import annotations
@@ -30,7 +30,13 @@
 from pulleyroute.net.flood_limits import FloodLimits
 from pulleyroute.net.header_encoding import PlainEncoder
 from pulleyroute.net.http import Broken, Headers
-from pulleyroute.net.http2_frames import LARGEST_INCREMENT, Merger, TooLong, data_frame, frame_of
+from pulleyroute.net.http2_frames import (
+    MAX_WINDOW_INCREMENT,
+    FrameMerger,
+    FrameTooLong,
+    data_frame,
+    encode_item,
+)
 from pulleyroute.net.loop import READABLE, WRITABLE, Coroutine, Loop, Task, Timer, Wait, Woken
 from pulleyroute.net.tls import Tls
 
@@ -53,11 +59,11 @@
 OUTBOX_DATA = 64 * 1024  # with more waiting for the kernel no more DATA is framed
 OUTBOX_FULL = 256 * 1024  # and with this much nothing more is read: the peer asks and does not listen
 LAST_ID = 2**31 - 1
-HANDSHAKE_TIME = 5_000_000
+HANDSHAKE_TIMEOUT_US = 5_000_000
 STUCK_TIME = 10_000_000  # a peer that takes nothing for so long is gone
 STEP = 500_000  # between the two GOAWAYs of a drain
 LOOKS = 64
-FLOOD = "too many frames"  # how the reason begins by which a flooding peer's connection ended
+FLOOD_REASON = "too many frames"  # how the reason begins by which a flooding peer's connection ended
 
 
 @dataclass(slots=True, frozen=True)
@@ -69,17 +75,17 @@
     header_bytes: int = 16 * 1024
     idle: int = 300_000_000  # without a stream, then a connection ends; 0 for never
     ping_after: int = 20_000_000  # of silence while streams are open, by the client's role; 0 for never
-    ping_patience: int = 10_000_000
+    ping_timeout: int = 10_000_000
 
 
-class Owner(Protocol):
-    """Who a stream belongs to. `broke` is the last word on it; none comes after both sides ended well."""
+class StreamHandler(Protocol):
+    """Who a stream belongs to. `aborted` is the last word on it; none comes after both sides ended well."""
 
     def headers(self, headers: Headers, ended: bool) -> None: ...
     def data(self, data: bytes) -> None: ...
     def ended(self, trailers: Headers) -> None: ...
     def sent(self, count: int) -> None: ...
-    def broke(self, code: int | None, never_ran: bool, why: str) -> None: ...
+    def aborted(self, code: int | None, never_ran: bool, why: str) -> None: ...
 
 
 class GracefulConnection(h2.connection.H2Connection):
@@ -144,24 +150,24 @@
         "_trailers",
         "answered",
         "connection",
-        "ended_here",
-        "ended_there",
+        "local_closed",
+        "remote_closed",
         "id",
-        "owner",
+        "handler",
     )
 
-    def __init__(self, connection: Http2, number: int, owner: Owner) -> None:
+    def __init__(self, connection: Http2Connection, number: int, handler: StreamHandler) -> None:
         self.connection = connection
         self.id = number
-        self.owner = owner
+        self.handler = handler
         self._pending: deque[bytes] = deque()
         self._size = 0
         self._fin = False
         self._trailers: Headers | None = None
         self._credit = 0  # consumed and not yet told
         self.answered = False
-        self.ended_here = False
-        self.ended_there = False
+        self.local_closed = False
+        self.remote_closed = False
 
     @property
     def open(self) -> bool:
@@ -171,7 +177,7 @@
         self.connection.head(self, headers, end)
 
     def write(self, data: bytes) -> None:
-        """Send when the windows allow; `Owner.sent` tells how much has gone."""
+        """Send when the windows allow; `StreamHandler.sent` tells how much has gone."""
         if data and self.open and not self._fin:
             self._pending.append(data)
             self._size += len(data)
@@ -186,7 +192,7 @@
     def consumed(self, count: int) -> None:
         """The owner has let go of so many bytes."""
         self._credit += count
-        if self._credit >= self.connection.limits.window * WINDOW_BACK and not self.ended_there:
+        if self._credit >= self.connection.limits.window * WINDOW_BACK and not self.remote_closed:
             self.connection.give_back(self, self._credit)
             self._credit = 0
 
@@ -195,7 +201,7 @@
         self._size = 0
         self.connection.reset(self, code)
 
-    def cut(self) -> None:
+    def discard_pending(self) -> None:
         """Drop what waits to be sent; only an ending can follow."""
         self._pending.clear()
         self._size = 0
@@ -219,19 +225,19 @@
         return data
 
     @property
-    def waiting(self) -> int:
+    def pending_bytes(self) -> int:
         """Bytes not yet sent."""
         return self._size
 
     @property
     def closing(self) -> tuple[bool, Headers | None]:
-        return self._fin and not self.ended_here, self._trailers
+        return self._fin and not self.local_closed, self._trailers
 
 
-Opened = Callable[[Stream, Headers, bool], Owner]
+Opened = Callable[[Stream, Headers, bool], StreamHandler]
 
 
-class Http2:
+class Http2Connection:
     """One connection, in either role. Owns its socket, its TLS, its h2 state and its streams."""
 
     def __init__(
@@ -242,14 +248,14 @@
         server: bool,
         limits: Limits,
         tls: Tls | None = None,
-        opened: Opened | None = None,
-        gone: Callable[[Http2, str], None] | None = None,
+        on_stream: Opened | None = None,
+        on_closed: Callable[[Http2Connection, str], None] | None = None,
     ) -> None:
         self._loop, self._pool, self._sock, self._tls = loop, pool, sock, tls
         self.limits = limits
         self._server = server
-        self._opened = opened
-        self._gone = gone
+        self._on_stream = on_stream
+        self._on_closed = on_closed
         self._flood_limits = FloodLimits()
         self._h2 = GracefulConnection(
             h2.config.H2Configuration(
@@ -261,7 +267,7 @@
                 validate_inbound_headers=False,
             )
         )
-        self._merger = Merger(self._h2.max_inbound_frame_size, server, self._count)
+        self._merger = FrameMerger(self._h2.max_inbound_frame_size, server, self._count)
         self._h2.local_settings = h2.settings.Settings(
             client=not server,
             initial_values={
@@ -301,7 +307,7 @@
     def streams(self) -> list[Stream]:
         return list(self._streams.values())
 
-    def forget(self, stream: Stream) -> None:
+    def abandon(self, stream: Stream) -> None:
         """Say nothing more on a stream: a stand-in's way to have never looked at it."""
         self._drop(stream)
 
@@ -315,7 +321,7 @@
         return not self.closed and self._streams.get(stream.id) is stream
 
     @property
-    def room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether another stream may be opened from here."""
         return (
             not self.closed
@@ -324,12 +330,12 @@
             and len(self._streams) < self._h2.remote_settings.max_concurrent_streams
         )
 
-    def request(self, headers: Headers, owner: Owner, end: bool = False) -> Stream:
+    def request(self, headers: Headers, handler: StreamHandler, end: bool = False) -> Stream:
         """Open a stream; raises Broken if the connection has no room for one."""
-        if not self.room:
+        if not self.has_capacity:
             raise Broken("no room for a stream")
         try:
-            stream = Stream(self, self._h2.get_next_available_stream_id(), owner)
+            stream = Stream(self, self._h2.get_next_available_stream_id(), handler)
             # h2 forgets closed streams when it counts the open ones, and only then: guards the memory, where
             # each call left one behind.
             self._h2._open_streams(1)
@@ -338,7 +344,7 @@
         except h2.exceptions.H2Error as exc:
             raise Broken(str(exc)) from None
         self._streams[stream.id] = stream
-        stream.ended_here = end
+        stream.local_closed = end
         self._stir()
         return stream
 
@@ -349,7 +355,7 @@
         with contextlib.suppress(h2.exceptions.H2Error):
             self._send_head(stream.id, headers, end)
         if end:
-            stream.ended_here = True
+            stream.local_closed = True
             self._settle(stream)
         self._stir()
 
@@ -397,7 +403,7 @@
 
     def _drop(self, stream: Stream) -> None:
         # Guards the memory: whoever still knows the stream would keep what waited to be sent on it.
-        stream.cut()
+        stream.discard_pending()
         self._streams.pop(stream.id, None)
         self._stirred.pop(stream, None)
         self._starved.pop(stream, None)
@@ -405,9 +411,9 @@
             self._idle_since = self._loop.now()
 
     def _settle(self, stream: Stream) -> None:
-        if stream.ended_here and stream.ended_there:
+        if stream.local_closed and stream.remote_closed:
             self._drop(stream)
-        elif stream.ended_here and self._server:
+        elif stream.local_closed and self._server:
             # An answer before the request's end: whole, and the rest is not wanted (RFC 9113, 8.1).
             self._drop(stream)
             with contextlib.suppress(h2.exceptions.H2Error):
@@ -456,10 +462,10 @@
         self._loop.forget(self._sock.fileno())
         self._sock.close()
         for stream in streams:
-            stream.cut()
-            stream.owner.broke(None, False, why)
-        if self._gone is not None:
-            self._gone(self, why)
+            stream.discard_pending()
+            stream.handler.aborted(None, False, why)
+        if self._on_closed is not None:
+            self._on_closed(self, why)
         if self.task is not None and not self._inside:
             self.task.cancel()
 
@@ -489,7 +495,7 @@
                 now = self._loop.now()
                 if self.closed:
                     return
-                if not self.ready and now - self._began >= HANDSHAKE_TIME:
+                if not self.ready and now - self._began >= HANDSHAKE_TIMEOUT_US:
                     raise Broken("no settings in time")
                 if self._outbox and self._stuck_since and now - self._stuck_since >= STUCK_TIME:
                     raise Broken("the peer takes nothing")
@@ -540,14 +546,14 @@
     def _until(self, now: int) -> int | None:
         """When to look again though nothing came."""
         if not self.ready:
-            return self._began + HANDSHAKE_TIME
+            return self._began + HANDSHAKE_TIMEOUT_US
         if self._outbox:
             return (self._stuck_since or now) + STUCK_TIME
         if not self._streams:
             return self._idle_since + self.limits.idle + 1000 if self.limits.idle else None
         if not self._server and self.limits.ping_after:
             if self._pinged:
-                return self._pinged + self.limits.ping_patience + 1000
+                return self._pinged + self.limits.ping_timeout + 1000
             return max(now, self._heard + self.limits.ping_after) + 1000
         return None
 
@@ -555,7 +561,7 @@
         """Guards streams against a machine that vanished: TCP does not notice, a PING without answer does."""
         if self._server or not self.limits.ping_after or not self._streams:
             self._pinged = 0
-        elif self._pinged and now - self._pinged > self.limits.ping_patience:
+        elif self._pinged and now - self._pinged > self.limits.ping_timeout:
             raise Broken("no answer to a ping")
         elif not self._pinged and now - self._heard > self.limits.ping_after:
             self._pinged = now
@@ -586,12 +592,12 @@
 
     def _count(self, kind: str) -> None:
         if self._server and not self._flood_limits.take(kind, self._loop.now()):
-            raise Calm(f"{FLOOD}: {kind}")
+            raise Calm(f"{FLOOD_REASON}: {kind}")
 
     def _take(self, data: bytes) -> None:
         try:
             items = self._merger.feed(data)
-        except TooLong:
+        except FrameTooLong:
             self.close("a frame is longer than was allowed", Code.FRAME_SIZE_ERROR)
             return
         plain = len(data) < self._pool.size // 2
@@ -605,7 +611,7 @@
                     continue
             plain = False
             if isinstance(item, tuple):
-                item = frame_of(number, what)
+                item = encode_item(number, what)
             for event in self._h2.receive_data(item):
                 handler = _HANDLERS.get(type(event))
                 if handler is not None:
@@ -636,13 +642,13 @@
         whole.window_consumed(size)
         part.window_consumed(size)
         self._owe(size)
-        stream.owner.data(body)
+        stream.handler.data(body)
         return True
 
     def _plain_window(self, number: int, increment: int) -> bool:
         """A window that surely may grow by so much; False leaves it to h2."""
         if number == 0:
-            if self._h2.outbound_flow_control_window + increment > LARGEST_INCREMENT:
+            if self._h2.outbound_flow_control_window + increment > MAX_WINDOW_INCREMENT:
                 return False
             self._h2.outbound_flow_control_window += increment
             self._feed()
@@ -652,7 +658,7 @@
             stream is None
             or inner is None
             or inner.state_machine.state not in _SENDS_DATA
-            or (inner.outbound_flow_control_window + increment > LARGEST_INCREMENT)
+            or (inner.outbound_flow_control_window + increment > MAX_WINDOW_INCREMENT)
         ):
             return False
         inner.outbound_flow_control_window += increment
@@ -674,21 +680,21 @@
             with contextlib.suppress(h2.exceptions.H2Error):
                 self._h2.reset_stream(number, Code.PROTOCOL_ERROR)
             return
-        if number > self._last or self._opened is None:
+        if number > self._last or self._on_stream is None:
             # Guards a stream that crossed our GOAWAY: refused, so its sender knows that it never ran.
             with contextlib.suppress(h2.exceptions.H2Error):
                 self._h2.reset_stream(number, Code.REFUSED_STREAM)
             return
         self._highest = max(self._highest, number)
         stream = Stream(self, number, _NOBODY)
-        stream.ended_there = event.stream_ended is not None
+        stream.remote_closed = event.stream_ended is not None
         self._streams[number] = stream
-        stream.owner = self._opened(stream, event.headers, stream.ended_there)
+        stream.handler = self._on_stream(stream, event.headers, stream.remote_closed)
 
     def _on_response(self, event: h2.events.ResponseReceived) -> None:
         stream = self._streams.get(event.stream_id)
         if stream is not None and self._sound(stream, event.headers, _ANSWER):
-            stream.owner.headers(event.headers, event.stream_ended is not None)
+            stream.handler.headers(event.headers, event.stream_ended is not None)
 
     def _on_data(self, event: h2.events.DataReceived) -> None:
         length = event.flow_controlled_length or 0
@@ -700,7 +706,7 @@
         if length > len(data):
             stream.consumed(length - len(data))  # padding
         if data:
-            stream.owner.data(data)
+            stream.handler.data(data)
 
     def _on_trailers(self, event: h2.events.TrailersReceived) -> None:
         stream = self._streams.get(event.stream_id)
@@ -712,7 +718,7 @@
         if sound(headers, pseudo):
             return True
         self.reset(stream, Code.PROTOCOL_ERROR)
-        stream.owner.broke(int(Code.PROTOCOL_ERROR), False, "a header out of form")
+        stream.handler.aborted(int(Code.PROTOCOL_ERROR), False, "a header out of form")
         return False
 
     def _on_ended(self, event: h2.events.StreamEnded) -> None:
@@ -720,9 +726,9 @@
 
     def _over(self, number: int, trailers: Headers) -> None:
         stream = self._streams.get(number)
-        if stream is not None and (trailers or not stream.ended_there):
-            stream.ended_there = True
-            stream.owner.ended(trailers)
+        if stream is not None and (trailers or not stream.remote_closed):
+            stream.remote_closed = True
+            stream.handler.ended(trailers)
             self._settle(stream)
 
     def _on_reset(self, event: h2.events.StreamReset) -> None:
@@ -732,7 +738,7 @@
                 self._count("reset")
             self._drop(stream)
             code = int(event.error_code)
-            stream.owner.broke(code, code == Code.REFUSED_STREAM, f"reset with code {code}")
+            stream.handler.aborted(code, code == Code.REFUSED_STREAM, f"reset with code {code}")
 
     def _on_window(self, event: h2.events.WindowUpdated) -> None:
         if event.stream_id:
@@ -763,7 +769,7 @@
             return
         for stream in [s for s in self._streams.values() if s.id > last]:
             self._drop(stream)  # above the last id: the peer says that it never saw it
-            stream.owner.broke(None, True, "above the last stream of a GOAWAY")
+            stream.handler.aborted(None, True, "above the last stream of a GOAWAY")
         self._ending = True
 
     # Writing
@@ -774,18 +780,18 @@
         while self._stirred and len(self._outbox) < OUTBOX_DATA and not self.closed:
             stream = next(iter(self._stirred))
             del self._stirred[stream]
-            if self._streams.get(stream.id) is not stream or stream.ended_here:
+            if self._streams.get(stream.id) is not stream or stream.local_closed:
                 continue
             try:
                 self._advance(stream)
             except h2.exceptions.H2Error:
                 self._drop(stream)
-                stream.owner.broke(None, False, "the stream was closed")
+                stream.handler.aborted(None, False, "the stream was closed")
             self._absorb()
 
     def _advance(self, stream: Stream) -> None:
         closing, trailers = stream.closing
-        if stream.waiting:
+        if stream.pending_bytes:
             inner = self._h2.streams.get(stream.id)
             if inner is None:
                 raise h2.exceptions.NoSuchStreamError(stream.id)
@@ -798,7 +804,7 @@
                 self._starved[stream] = None
                 return
             data = stream.take(most)
-            end = closing and not stream.waiting and trailers is None
+            end = closing and not stream.pending_bytes and trailers is None
             if end or inner.state_machine.state not in _SENDS_DATA:
                 self._h2.send_data(stream.id, data, end)
             else:
@@ -808,17 +814,17 @@
                 self._absorb()
                 self._give(data_frame(stream.id, data))
             if end:
-                stream.ended_here = True
-            elif stream.waiting or closing:
+                stream.local_closed = True
+            elif stream.pending_bytes or closing:
                 self._stirred[stream] = None  # behind the others: none holds the line
-            stream.owner.sent(len(data))
+            stream.handler.sent(len(data))
         elif closing:
             if trailers is not None:
                 self._send_head(stream.id, trailers, True)
             else:
                 self._h2.end_stream(stream.id)
-            stream.ended_here = True
-        if stream.ended_here:
+            stream.local_closed = True
+        if stream.local_closed:
             self._settle(stream)
 
     def _absorb(self) -> None:
@@ -880,18 +886,18 @@
     def data(self, data: bytes) -> None: ...
     def ended(self, trailers: Headers) -> None: ...
     def sent(self, count: int) -> None: ...
-    def broke(self, code: int | None, never_ran: bool, why: str) -> None: ...
+    def aborted(self, code: int | None, never_ran: bool, why: str) -> None: ...
 
 
 _NOBODY = _Nobody()
-_HANDLERS: dict[type, Callable[[Http2, Any], None]] = {
-    h2.events.RequestReceived: Http2._on_request,
-    h2.events.ResponseReceived: Http2._on_response,
-    h2.events.DataReceived: Http2._on_data,
-    h2.events.TrailersReceived: Http2._on_trailers,
-    h2.events.StreamEnded: Http2._on_ended,
-    h2.events.StreamReset: Http2._on_reset,
-    h2.events.WindowUpdated: Http2._on_window,
-    h2.events.RemoteSettingsChanged: Http2._on_settings,
-    h2.events.ConnectionTerminated: Http2._on_goaway,
+_HANDLERS: dict[type, Callable[[Http2Connection, Any], None]] = {
+    h2.events.RequestReceived: Http2Connection._on_request,
+    h2.events.ResponseReceived: Http2Connection._on_response,
+    h2.events.DataReceived: Http2Connection._on_data,
+    h2.events.TrailersReceived: Http2Connection._on_trailers,
+    h2.events.StreamEnded: Http2Connection._on_ended,
+    h2.events.StreamReset: Http2Connection._on_reset,
+    h2.events.WindowUpdated: Http2Connection._on_window,
+    h2.events.RemoteSettingsChanged: Http2Connection._on_settings,
+    h2.events.ConnectionTerminated: Http2Connection._on_goaway,
 }
--- a/pulleyroute/net/http2_frames.py
+++ b/pulleyroute/net/http2_frames.py
@@ -14,30 +14,30 @@
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 DATA, WINDOW_UPDATE = 0, 8
 END_STREAM_OR_PADDED = 0x1 | 0x8
-LARGEST_INCREMENT = 2**31 - 1
-SMALL = 16  # bytes of DATA
+MAX_WINDOW_INCREMENT = 2**31 - 1
+SMALL_DATA_BYTES = 16  # bytes of DATA
 
 
 # Whole frames to be judged by h2 as they are; or a stream's number with bytes of DATA that neither end it nor
-# are padded, or with the increment of its window. `frame_of` makes the frame of such a pair.
+# are padded, or with the increment of its window. `encode_item` makes the frame of such a pair.
 Item = bytes | tuple[int, bytes | int]
 
 
-class TooLong(Exception):
+class FrameTooLong(Exception):
     """A frame's head announces more bytes than were allowed; the rest of the connection can't be read."""
 
 
-class Merger:
+class FrameMerger:
     """One direction of one connection. Holds at most one frame that has not come whole.
 
-    `most`: bytes of a frame's body; `preface`: the peer is a client and speaks first; `count` hears the kind
-    of each frame that costs its sender nothing, as `flood_limits` names them.
+    `max_frame_size`: bytes of a frame's body; `preface`: the peer is a client and speaks first; `count` hears
+    the kind of each frame that costs its sender nothing, as `flood_limits` names them.
     """
 
-    __slots__ = ("_count", "_data", "_preface", "_rest", "_windows", "most")
+    __slots__ = ("_count", "_data", "_preface", "_rest", "_windows", "max_frame_size")
 
-    def __init__(self, most: int, preface: bool, count: Callable[[str], None]) -> None:
-        self.most = most
+    def __init__(self, max_frame_size: int, preface: bool, count: Callable[[str], None]) -> None:
+        self.max_frame_size = max_frame_size
         self._preface = len(PREFACE) if preface else 0
         self._rest = b""
         self._count = count
@@ -45,7 +45,7 @@
         self._windows: dict[bytes, int] = {}
 
     def feed(self, data: bytes) -> list[Item]:
-        """What has come whole, in order; raises `TooLong`."""
+        """What has come whole, in order; raises `FrameTooLong`."""
         out: list[Item] = []
         if self._preface:
             # As it comes: h2 says at once whether it is one.
@@ -57,15 +57,15 @@
         at, size = 0, len(data)
         while size - at >= 9:
             length = data[at] << 16 | data[at + 1] << 8 | data[at + 2]
-            if length > self.most:
+            if length > self.max_frame_size:
                 # Guards the memory: h2 looks at a length only once all of it, up to 16 MiB, has come.
-                raise TooLong
+                raise FrameTooLong
             end = at + 9 + length
             if end > size:
                 break
             kind = data[at + 3]
             if kind == DATA and length and not data[at + 4] & END_STREAM_OR_PADDED:
-                if length < SMALL:
+                if length < SMALL_DATA_BYTES:
                     self._count("small")
                 stream = data[at + 5 : at + 9]
                 parts = self._data.get(stream)
@@ -77,7 +77,7 @@
                 self._count("window")
                 stream = data[at + 5 : at + 9]
                 total = self._windows.get(stream, 0) + int.from_bytes(data[at + 9 : end], "big")
-                if total > LARGEST_INCREMENT:
+                if total > MAX_WINDOW_INCREMENT:
                     self._flush(out)  # too much for one frame: h2 is to see it
                     out.append(data[at:end])
                 else:
@@ -102,11 +102,11 @@
     def _flush(self, out: list[Item]) -> None:
         for stream, parts in self._data.items():
             body = parts[0] if len(parts) == 1 else b"".join(parts)
-            number = int.from_bytes(stream, "big") & LARGEST_INCREMENT
-            for at in range(0, len(body), self.most):
-                out.append((number, body[at : at + self.most]))
+            number = int.from_bytes(stream, "big") & MAX_WINDOW_INCREMENT
+            for at in range(0, len(body), self.max_frame_size):
+                out.append((number, body[at : at + self.max_frame_size]))
         for stream, increment in self._windows.items():
-            out.append((int.from_bytes(stream, "big") & LARGEST_INCREMENT, increment))
+            out.append((int.from_bytes(stream, "big") & MAX_WINDOW_INCREMENT, increment))
         self._data.clear()
         self._windows.clear()
 
@@ -121,7 +121,7 @@
     return b"\0\0\4\x08\0" + stream.to_bytes(4, "big") + increment.to_bytes(4, "big")
 
 
-def frame_of(stream: int, what: bytes | int) -> bytes:
+def encode_item(stream: int, what: bytes | int) -> bytes:
     return window_frame(stream, what) if isinstance(what, int) else data_frame(stream, what)
 
 
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -259,7 +259,7 @@
         back: Calls | Instances
         if pool.protocol == "grpc":
             limits = Limits(
-                window=pool.window, ping_after=pool.ping_after, ping_patience=pool.ping_patience, idle=0
+                window=pool.window, ping_after=pool.ping_after, ping_timeout=pool.ping_patience, idle=0
             )
             back = Calls(
                 self._loop,
--- a/tests/grpc/test_calls.py
+++ b/tests/grpc/test_calls.py
@@ -237,7 +237,7 @@
 
 
 def test_a_machine_that_vanished_is_noticed_by_a_ping_without_answer():
-    scene = Scene(back=Limits(ping_after=SECOND, ping_patience=SECOND))
+    scene = Scene(back=Limits(ping_after=SECOND, ping_timeout=SECOND))
     call = scene.call(CHARGE, timeout="9S")
     seen = scene.arrived().whole()
     assert seen.peer  # from here on nobody reads there
@@ -375,14 +375,14 @@
         client.pull()
     assert push() and pushed <= 65_535 + 65_535  # the client's window, and ours towards the instance
     upstream = next(iter(scene.back._upstreams.values()))
-    assert upstream.call.stream.waiting <= 65_535
+    assert upstream.call.stream.pending_bytes <= 65_535
     other = scene.client().call(SAFE)
     scene.arrived().whole().answer(b"ok")
     assert other.status() == 0
     (held,) = [call.stream for call in scene.front.calls]
     stalled.cut(8)
     assert seen.broken() == 8 and scene.done()
-    assert held.waiting == 0  # a timer kept them until the deadline: 28 MiB for 500 streams
+    assert held.pending_bytes == 0  # a timer kept them until the deadline: 28 MiB for 500 streams
 
 
 def test_a_sender_is_held_back_by_an_instance_that_does_not_read():
@@ -507,9 +507,9 @@
     scene.loop.until(lambda: scene.front._unread)
     (stream,) = scene.front._unread
     scene.loop.skip(5 * SECOND)
-    assert stream.open and stream.waiting
+    assert stream.open and stream.pending_bytes
     scene.loop.skip(4 * SECOND)
-    assert not stream.open and not stream.waiting and scene.done()
+    assert not stream.open and not stream.pending_bytes and scene.done()
 
 
 def test_h2_keeps_no_streams_that_are_closed(monkeypatch):
--- a/tests/grpc/test_floods.py
+++ b/tests/grpc/test_floods.py
@@ -16,7 +16,7 @@
 from pulleyroute.grpc import FrontLimits, Status
 from pulleyroute.grpc.messages import framed
 from pulleyroute.net.flood_limits import ALLOWED, Allowance
-from pulleyroute.net.http2 import HANDSHAKE_TIME, Limits
+from pulleyroute.net.http2 import HANDSHAKE_TIMEOUT_US, Limits
 from tests.grpc.scene import Scene
 from tests.net.scene import SECOND
 
@@ -155,7 +155,7 @@
     scene = Scene()
     with socket.create_connection(scene.front.address):
         scene.loop.until(lambda: scene.front.connections)
-        scene.loop.skip(HANDSHAKE_TIME + SECOND)
+        scene.loop.skip(HANDSHAKE_TIMEOUT_US + SECOND)
         assert not scene.front.connections
 
 
@@ -194,8 +194,8 @@
     seen.headers([(":status", "200"), ("content-type", "application/grpc")])
     room = seen.peer.h2.local_flow_control_window(seen.id)
     seen.send(b"\0" * min(room, 16_384))
-    scene.loop.until(lambda: [c for c in scene.front.calls if c.stream.waiting])
-    held = max(c.stream.waiting for c in scene.front.calls)
+    scene.loop.until(lambda: [c for c in scene.front.calls if c.stream.pending_bytes])
+    held = max(c.stream.pending_bytes for c in scene.front.calls)
     assert held <= 65_535 and not call.ended
     scene.loop.skip(3 * SECOND)
     assert call.status() == Status.DEADLINE_EXCEEDED and scene.done()
--- a/tests/net/test_http2_frames.py
+++ b/tests/net/test_http2_frames.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from pulleyroute.net.header_encoding import KEPT, PlainEncoder
-from pulleyroute.net.http2_frames import Merger, TooLong, data_frame, frame_of
+from pulleyroute.net.http2_frames import FrameMerger, FrameTooLong, data_frame, encode_item
 from pulleyroute.net.wakeup_pacing import CLOSE, ROW, WakeupPacing
 
 OPEN = [(":method", "POST"), (":scheme", "http"), (":path", "/a.B/C"), (":authority", "x")]
@@ -82,12 +82,12 @@
     wire = spoken(steps)
     plain = side(False)
     expected = heard(plain.receive_data(wire))
-    merged, merger, events = side(False), Merger(16_384, True, lambda kind: None), []
+    merged, merger, events = side(False), FrameMerger(16_384, True, lambda kind: None), []
     at = i = 0
     while at < len(wire):
         size = cuts[i % len(cuts)]
         for item in merger.feed(wire[at : at + size]):
-            events += merged.receive_data(frame_of(*item) if isinstance(item, tuple) else item)
+            events += merged.receive_data(encode_item(*item) if isinstance(item, tuple) else item)
         at, i = at + size, i + 1
     assert heard(events) == expected
     assert merged.outbound_flow_control_window == plain.outbound_flow_control_window
@@ -96,8 +96,10 @@
 
 def test_many_small_frames_become_few():
     counted = []
-    merger = Merger(16_384, False, counted.append)
-    wire = b"".join(data_frame(1, b"x" * 10) + frame_of(1, 5) + data_frame(3, b"y" * 20) for _ in range(100))
+    merger = FrameMerger(16_384, False, counted.append)
+    wire = b"".join(
+        data_frame(1, b"x" * 10) + encode_item(1, 5) + data_frame(3, b"y" * 20) for _ in range(100)
+    )
     assert merger.feed(wire) == [(1, b"x" * 1000), (3, b"y" * 2000), (1, 500)]
     assert counted.count("small") == 100 and counted.count("window") == 100
     assert [
@@ -106,16 +108,16 @@
 
 
 def test_a_frame_longer_than_allowed_is_known_by_its_head():
-    merger = Merger(16_384, False, lambda kind: None)
+    merger = FrameMerger(16_384, False, lambda kind: None)
     assert merger.feed(data_frame(1, b"x" * 16_384)[:9]) == []
-    with pytest.raises(TooLong):
-        Merger(16_384, False, lambda kind: None).feed((16_385).to_bytes(3, "big") + b"\0" * 6)
+    with pytest.raises(FrameTooLong):
+        FrameMerger(16_384, False, lambda kind: None).feed((16_385).to_bytes(3, "big") + b"\0" * 6)
 
 
 def test_windows_that_would_overflow_are_left_to_h2():
-    merger = Merger(16_384, False, lambda kind: None)
-    out = merger.feed(frame_of(1, 2**31 - 1) + frame_of(1, 1))
-    assert out == [(1, 2**31 - 1), frame_of(1, 1)]
+    merger = FrameMerger(16_384, False, lambda kind: None)
+    out = merger.feed(encode_item(1, 2**31 - 1) + encode_item(1, 1))
+    assert out == [(1, 2**31 - 1), encode_item(1, 1)]
 
 
 NAMES = st.sampled_from([b":status", b"grpc-status", b"x-a", b"x-bin", b"authorization", b"grpc-timeout"])
