--- a/pulleyroute/net/tls.py
+++ b/pulleyroute/net/tls.py
@@ -12,24 +12,24 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Files:
-    """Where a listener's certificate chain and key are, both PEM; `clients`: the CA of clients'
+class CertificateFiles:
+    """Where a listener's certificate chain and key are, both PEM; `client_ca`: the CA of clients'
     certificates."""
 
     certificate: str
     key: str
-    clients: str = ""
+    client_ca: str = ""
 
 
-def server_context(files: Files) -> ssl.SSLContext:
+def server_context(files: CertificateFiles) -> ssl.SSLContext:
     """A context for a listener; raises ValueError with one plain line if the files can't be used."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     context.set_alpn_protocols(ALPN)
     try:
         context.load_cert_chain(files.certificate, files.key)
-        if files.clients:
-            context.load_verify_locations(files.clients)
+        if files.client_ca:
+            context.load_verify_locations(files.client_ca)
             context.verify_mode = ssl.CERT_REQUIRED
     except (OSError, ssl.SSLError) as exc:
         raise ValueError(f"certificate {files.certificate} with key {files.key}: {exc}") from None
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -30,7 +30,7 @@
 from pulleyroute.net.management import DESCRIPTORS, Management, verbs
 from pulleyroute.net.metrics import Ended, Gauges, Metrics
 from pulleyroute.net.process import descriptors
-from pulleyroute.net.tls import Files, client_context, server_context
+from pulleyroute.net.tls import CertificateFiles, client_context, server_context
 from pulleyroute.service.changes import Plan, plan
 from pulleyroute.service.withheld import FleetHost, Withheld
 
@@ -238,7 +238,7 @@
             for name, listener in config.listener.items():
                 if listener.tls is not None:
                     tls = listener.tls
-                    server[name] = server_context(Files(tls.certificate, tls.key, tls.clients))
+                    server[name] = server_context(CertificateFiles(tls.certificate, tls.key, tls.clients))
             for name, pool in config.pool.items():
                 if pool.tls is not None:
                     client[name] = client_context(pool.tls.ca)
--- a/tests/net/test_tls.py
+++ b/tests/net/test_tls.py
@@ -6,7 +6,7 @@
 
 from benchmarks.fixture import certificates
 from pulleyroute.net.http import Broken
-from pulleyroute.net.tls import Files, Tls, client_context, server_context
+from pulleyroute.net.tls import CertificateFiles, Tls, client_context, server_context
 
 
 def shake(client, server):
@@ -27,7 +27,7 @@
 
 
 def pair(files, clients="", show=False):
-    server = server_context(Files(str(files.certificate), str(files.key), clients))
+    server = server_context(CertificateFiles(str(files.certificate), str(files.key), clients))
     client = client_context(str(files.ca))
     if show:
         client.load_cert_chain(files.certificate, files.key)
@@ -74,6 +74,6 @@
 
 def test_files_that_can_t_be_used_are_one_line(files, tmp_path):
     with pytest.raises(ValueError, match="no.pem"):
-        server_context(Files(str(tmp_path / "no.pem"), str(files.key)))
+        server_context(CertificateFiles(str(tmp_path / "no.pem"), str(files.key)))
     with pytest.raises(ValueError):
         client_context(str(files.key))
