--- a/pulleyroute/__main__.py
+++ b/pulleyroute/__main__.py
@@ -22,7 +22,7 @@
 from pulleyroute.net.config import Config, ConfigError, load_config
 from pulleyroute.net.discovery import DiscoveryClient
 from pulleyroute.net.downstream import Downstream
-from pulleyroute.net.handover import Handover, inherited, place
+from pulleyroute.net.handover import Handover, handover_socket_path, inherited_listener
 from pulleyroute.net.host import Host
 from pulleyroute.net.instance import Instances
 from pulleyroute.net.lifecycle import Phase
@@ -32,21 +32,21 @@
 from pulleyroute.net.process import catch_signals, descriptors, heeding, on_error
 
 # How the descriptors are shared out. What is left is for discovery, the listener and the process itself.
-RESERVE = 24
+RESERVED_DESCRIPTORS = 24
 CLIENT_SHARE = 0.7  # accepted connections: clients and the instances' calls
 JOB_SHARE = 0.45  # of all: clients that wait for an answer
 INSTANCE_SHARE = 0.3
 # Of the memory, what the program takes by itself; of the rest this share may be requests as they were read,
 # since a byte of them is held up to three times over while it is parsed and sent on.
-PROGRAM_MB = 22
-READ_SHARE = 1 / 3
+PROGRAM_MEMORY_MB = 22
+REQUEST_MEMORY_SHARE = 1 / 3
 MEGABYTE = 1024 * 1024
-FEWEST = 32  # descriptors that a process may use, whatever another one still holds
+MIN_DESCRIPTORS = 32  # descriptors that a process may use, whatever another one still holds
 
 
-def readable(config: Config, programs: int = 1) -> int:
+def request_memory_bytes(config: Config, processes: int = 1) -> int:
     """How many bytes of requests may be held, where so many processes are one dispatcher."""
-    return int(max(1, (config.memory_mb - PROGRAM_MB * programs) * READ_SHARE) * MEGABYTE)
+    return int(max(1, (config.memory_mb - PROGRAM_MEMORY_MB * processes) * REQUEST_MEMORY_SHARE) * MEGABYTE)
 
 
 @dataclass(slots=True)
@@ -60,7 +60,8 @@
     clients: Downstream
     host: Host
     metrics: Metrics
-    other: tuple[int, int] | None = None  # descriptors and bytes that another process of the dispatcher holds
+    # Descriptors and bytes that another process of the same dispatcher holds; None if there is no other.
+    peer_usage: tuple[int, int] | None = None
 
     # For the admin listener
 
@@ -94,24 +95,24 @@
             part.adopt(settings)
         return settings
 
-    def held(self) -> tuple[int, int]:
+    def usage(self) -> tuple[int, int]:
         """Descriptors and bytes that this process holds."""
-        return aside(self.config) + self.clients.count + self.instances.count, self.ledger.held
+        return reserved_descriptors(self.config) + self.clients.count + self.instances.count, self.ledger.held
 
-    def share(self, other: tuple[int, int] | None) -> None:
+    def set_peer_usage(self, usage: tuple[int, int] | None) -> None:
         """Another process of this dispatcher holds so much: all that both hold is within one limit."""
-        self.other = other
-        self.allow()
+        self.peer_usage = usage
+        self.apply_limits()
 
-    def allow(self) -> None:
+    def apply_limits(self) -> None:
         """Put the limits of the configuration in force."""
-        budget, held, programs = budget_of(self.config), 0, 1
-        if self.other is not None:
-            theirs, held = self.other
-            budget, programs = max(FEWEST, budget - theirs), 2
+        budget, held, processes = descriptor_budget(self.config), 0, 1
+        if self.peer_usage is not None:
+            theirs, held = self.peer_usage
+            budget, processes = max(MIN_DESCRIPTORS, budget - theirs), 2
         self.instances.allow(int(budget * INSTANCE_SHARE))
         self.clients.allow(int(budget * CLIENT_SHARE), int(budget * JOB_SHARE))
-        self.ledger.most = max(MEGABYTE, readable(self.config, programs) - held)
+        self.ledger.most = max(MEGABYTE, request_memory_bytes(self.config, processes) - held)
 
 
 def build(config: Config, loop: Loop, listener: socket.socket | None = None) -> Parts:
@@ -120,11 +121,11 @@
     With a listener from outside there may be another process that serves there: clients are taken once that
     has handed over, or does not answer.
     """
-    pool, ledger = BufferPool(), Ledger(readable(config))
+    pool, ledger = BufferPool(), Ledger(request_memory_bytes(config))
     epoch = time.time_ns() // 1000 - loop.now()
     discovery = DiscoveryClient(loop, pool, config.discovery, config.settings, epoch, config.seed + 1)
     metrics = Metrics()
-    budget = budget_of(config)
+    budget = descriptor_budget(config)
     instances = Instances(
         loop, pool, discovery, config.settings, int(budget * INSTANCE_SHARE), metrics, config.seed + 2
     )
@@ -148,18 +149,18 @@
     discovery.begin()
     if listener is None:
         # Open from the start, for `/-/ready` and call-backs; clients are wanted once the list may be used.
-        listening(config.listen, clients.listener.listen)
+        open_listener(config.listen, clients.listener.listen)
         discovery.freshness.when_usable(clients.lifecycle.serve)
     if config.management is not None:
-        listening(config.management, Management(loop, pool, verbs(parts)).listen)
+        open_listener(config.management, Management(loop, pool, verbs(parts)).listen)
     if listener is not None:
-        meeting = place(os.environ.get("TMPDIR") or "/tmp", listener)
+        meeting = handover_socket_path(os.environ.get("TMPDIR") or "/tmp", listener)
         handover = Handover(loop, meeting, clients, host, discovery, parts)
         loop.spawn(handover.take_over(listener), "hand-over start")
     return parts
 
 
-def listening(address: tuple[str, int], listen: Callable[[tuple[str, int]], None]) -> None:
+def open_listener(address: tuple[str, int], listen: Callable[[tuple[str, int]], None]) -> None:
     """Open a listener; raises ConfigError where its address can't be had."""
     try:
         listen(address)
@@ -167,14 +168,14 @@
         raise ConfigError(f"cannot listen on {address[0]}:{address[1]}: {exc.strerror}") from None
 
 
-def aside(config: Config) -> int:
+def reserved_descriptors(config: Config) -> int:
     """How many descriptors are for the process itself and the admin listener."""
-    return RESERVE + (DESCRIPTORS if config.management is not None else 0)
+    return RESERVED_DESCRIPTORS + (DESCRIPTORS if config.management is not None else 0)
 
 
-def budget_of(config: Config) -> int:
+def descriptor_budget(config: Config) -> int:
     """How many descriptors are for clients and instances."""
-    return descriptors(config.sockets) - aside(config)
+    return descriptors(config.sockets) - reserved_descriptors(config)
 
 
 def reload(parts: Parts) -> None:
@@ -205,7 +206,7 @@
     old.settings = parts.adopt(config.settings)
     old.discovery, old.sockets, old.memory_mb = config.discovery, config.sockets, config.memory_mb
     old.shape = config.shape
-    parts.allow()
+    parts.apply_limits()
 
 
 def main() -> int:
@@ -215,7 +216,7 @@
     try:
         config = load_config(os.environ)
         given = os.environ.get("PROXY_FD")
-        parts = build(config, loop, inherited(given) if given else None)
+        parts = build(config, loop, inherited_listener(given) if given else None)
     except (ConfigError, ValueError) as exc:
         print(f"pulleyroute: {exc}", file=sys.stderr)
         return 2
--- a/tests/lab/test_upgrade.py
+++ b/tests/lab/test_upgrade.py
@@ -10,17 +10,17 @@
 PATIENT = """
 import sys
 import pulleyroute.net.handover as handover
-handover.STATE_TIME = handover.CALL_TIME = handover.SEND_TIME = 60_000_000
+handover.STATE_TIMEOUT_US = handover.CALLBACK_TIMEOUT_US = handover.SEND_TIMEOUT_US = 60_000_000
 {mutant}
 from pulleyroute.__main__ import main
 sys.exit(main())
 """
 NO_RELAY = """
-def elsewhere(self, call, body):
+def relay_call(self, call, body):
     self._host.call(call)
     return True
     yield
-handover.Handover.elsewhere = elsewhere
+handover.Handover.relay_call = relay_call
 """
 
 
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -10,21 +10,30 @@
 
 from pulleyroute import snapshot
 from pulleyroute.net.downstream import Downstream
-from pulleyroute.net.handover import STATE_TIME, Handover, Link, Unreadable, inherited, pack, place, unpack
+from pulleyroute.net.handover import (
+    STATE_TIMEOUT_US,
+    Handover,
+    Link,
+    MessageError,
+    decode_message,
+    encode_message,
+    handover_socket_path,
+    inherited_listener,
+)
 from pulleyroute.net.lifecycle import Phase
 from pulleyroute.net.loop import Task
 from tests.net.scene import READY, SECOND, TAKEN, Scene, callback
 
 
-class Budgets:
+class FakeBudget:
     def __init__(self):
-        self.other = None
+        self.peer_usage = None
 
-    def held(self):
+    def usage(self):
         return 7, 700
 
-    def share(self, other):
-        self.other = other
+    def set_peer_usage(self, other):
+        self.peer_usage = other
 
 
 class Process(Scene):
@@ -35,14 +44,19 @@
         super().__init__(**more)
 
     def serve(self):
-        self.budgets = Budgets()
-        listener = inherited(str(os.dup(self.platform.fileno())))
+        self.budget = FakeBudget()
+        listener = inherited_listener(str(os.dup(self.platform.fileno())))
         self.handover = Handover(
-            self.loop, place(self.folder, listener), self.clients, self.host, self.discovery, self.budgets
+            self.loop,
+            handover_socket_path(self.folder, listener),
+            self.clients,
+            self.host,
+            self.discovery,
+            self.budget,
         )
         self.starting = Task(self.loop, self.handover.take_over(listener), "start")
         self.starting.start()
-        passing(self, lambda: self.starting.done)
+        advance_until(self, lambda: self.starting.done)
 
     def next(self, listens=True):
         return Process(self.folder, self.platform, beside=self, listens=listens)
@@ -51,19 +65,19 @@
         """As the kernel does it: what it holds is closed, nothing else is said."""
         self.clients.listener.pause()
         self.clients._move = None
-        self.handover._close_meeting_place()
+        self.handover._close_handover_socket()
         self.starting.cancel()
         self.host.abandon = lambda job: None
         for connection in list(self.clients._connections):
             connection.task.cancel()
         self.host.open = 0
-        for link in (self.handover._before, self.handover._after):
+        for link in (self.handover._predecessor, self.handover._successor):
             if link is not None:
-                link.gone = lambda: None
+                link.on_closed = lambda: None
                 link.close("killed")
 
 
-def passing(scene, condition):
+def advance_until(scene, condition):
     """Turn with time going on, since a hand-over waits in small steps."""
 
     def held():
@@ -89,7 +103,7 @@
     body = json.dumps({"id": txn, "state": state, "result": f"of {txn}", "from": instance}).encode()
     peer = scene.client()
     peer.send(callback(body))
-    passing(scene, peer.pull)
+    advance_until(scene, peer.pull)
     head = peer.message()[0]
     peer.close()
     return head
@@ -102,7 +116,7 @@
     client.send(b"GET /-/re")  # sent ahead: the bytes are read already, and go with the job
     old.loop.settle()
     new = old.next()
-    passing(old, lambda: new.host.knows("t1"))
+    advance_until(old, lambda: new.host.knows("t1"))
     assert not old.host.knows("t1") and old.host.knows("t2") and new.clients.count == 3
     assert b" 204 " in told(new, "t1", instance)
     head, body = client.message()
@@ -114,7 +128,7 @@
     new.ask("/read", "t3", peer=silent)
     new.loop.until(lambda: new.host.knows("t3"))
     peer.send(TAKEN)  # now that its instance has it, it moves too
-    passing(old, lambda: new.host.knows("t2"))
+    advance_until(old, lambda: new.host.knows("t2"))
     told(new, "t2", late)
     assert waiting.message()[1] == b"of t2"
     assert not old.host.open and not old.clients.count and not old.loop.errors
@@ -126,14 +140,14 @@
         "cluster_size": 3,
     }
     old.clients.stop()
-    passing(old, lambda: old.loop.stopped)
+    advance_until(old, lambda: old.loop.stopped)
 
 
 @pytest.mark.parametrize(("path", "again"), [("/charge", False), ("/read", True)])
 def test_what_becomes_of_a_job_that_moved_is_as_if_it_had_been_taken_there(old, path, again):
     client, instance, _ = open_job(old, path, "t1")
     new = old.next()
-    passing(old, lambda: new.host.knows("t1"))
+    advance_until(old, lambda: new.host.knows("t1"))
     told(new, "t1", instance, "lost")
     new.loop.skip(SECOND)
     if not again:  # it may have run: never twice, through whatever process
@@ -149,7 +163,7 @@
 def test_a_job_that_moved_ends_in_time_and_is_given_up_where_it_runs(old):
     client, instance, _ = open_job(old, "/charge", "t1")
     new = old.next()
-    passing(old, lambda: new.host.knows("t1"))
+    advance_until(old, lambda: new.host.knows("t1"))
     old.die()
     new.loop.skip(4 * SECOND)
     assert b" 502 " in client.message()[0]
@@ -160,8 +174,8 @@
     # Guards the job: 204 would be the instance's last word on it.
     open_job(old, "/charge", "t1", accept=False)
     new = old.next()
-    passing(old, lambda: old.clients.lifecycle.phase is Phase.HANDED)
-    old.handover._after._task.cancel()  # it hangs
+    advance_until(old, lambda: old.clients.lifecycle.phase is Phase.HANDED)
+    old.handover._successor._task.cancel()  # it hangs
     assert b" 503 " in told(new, "t1", "s-0")
 
 
@@ -169,10 +183,10 @@
     # Guards the rule on repeats against a client that sends another's id while its job cannot move yet.
     client, instance, peer = open_job(old, "/charge", "t1", accept=False)
     new = old.next()
-    passing(old, lambda: new.clients.theirs)
+    advance_until(old, lambda: new.clients.theirs)
     assert b" 409 " in new.ask("/charge", "t1").message()[0]
     peer.send(TAKEN)
-    passing(old, lambda: new.host.knows("t1"))
+    advance_until(old, lambda: new.host.knows("t1"))
     assert b" 409 " in new.ask("/charge", "t1").message()[0]
     told(new, "t1", instance)
     assert client.message()[1] == b"of t1"
@@ -192,7 +206,7 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(Downstream, "receive", late)
         new.serve()
-        passing(old, lambda: other)
+        advance_until(old, lambda: other)
         assert b" 502 " in client.message()[0]
     other[0].close()
 
@@ -207,7 +221,7 @@
 
     monkeypatch.setattr(Link, "send", limited)
     new = old.next()
-    passing(old, lambda: new.host.knows("t0") and new.host.knows("t2"))
+    advance_until(old, lambda: new.host.knows("t0") and new.host.knows("t2"))
     assert old.host.knows("t1")
     for n, (client, instance, _) in enumerate(jobs):
         told(new, f"t{n}", instance)
@@ -221,7 +235,7 @@
     new = old
     for _ in range(upgrades):
         before, new = new, new.next()
-        passing(old, lambda p=before: p.clients.lifecycle.phase is Phase.HANDED)
+        advance_until(old, lambda p=before: p.clients.lifecycle.phase is Phase.HANDED)
     if state == "unknown":
         assert b" 204 " in told(new, "nobody", instance)
         return
@@ -269,7 +283,7 @@
 
     def die():
         for link in links[doomed]:
-            link.gone = lambda: None
+            link.on_closed = lambda: None
             link.close("killed")
         processes[doomed].die()
 
@@ -288,7 +302,7 @@
     old.loop.skip(1_500_000)
     assert seen[: number + 1] == MESSAGES[: number + 1]
     stays = processes["new" if doomed == "old" else "old"]
-    passing(old, lambda: stays.clients.lifecycle.ready)
+    advance_until(old, lambda: stays.clients.lifecycle.ready)
     for txn, (client, instance, peer) in jobs.items():
         assert not (old.host.knows(txn) and new.host.knows(txn))
         if not stays.host.knows(txn):
@@ -317,7 +331,7 @@
     assert stranger.clients.lifecycle.ready and old.clients.lifecycle.phase is Phase.SERVING
     new = old.next(listens=False)
     with monkeypatch.context() as patch:
-        patch.setattr(Handover, "_use", lambda handover, *_: new.clients.stop() or Phase.SERVING)
+        patch.setattr(Handover, "_apply_state", lambda handover, *_: new.clients.stop() or Phase.SERVING)
         new.serve()
     assert new.clients.listener.sock is None and new.clients.lifecycle.phase is Phase.ENDING
 
@@ -332,26 +346,26 @@
 
 def test_both_keep_within_one_limit_until_the_old_one_is_gone(old):
     new = old.next()
-    passing(old, lambda: new.budgets.other == (7, 700))
+    advance_until(old, lambda: new.budget.peer_usage == (7, 700))
     old.die()
-    passing(old, lambda: new.budgets.other is None)
+    advance_until(old, lambda: new.budget.peer_usage is None)
 
 
 @pytest.mark.parametrize("how", ["stale", "silent", "version", "garbage", "half", "no folder", "nonsense"])
 def test_whatever_is_at_the_meeting_place_the_new_process_serves_in_time(tmp_path, how):
     platform = socket.create_server(("127.0.0.1", 0))
     meeting = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    meeting.bind(place(str(tmp_path), platform))
+    meeting.bind(handover_socket_path(str(tmp_path), platform))
     if how == "stale":
         meeting.close()
     else:
         meeting.listen()
     with platform:
         answer = {
-            "version": pack("state", {"version": 99, "now": 1, "last": True}),
+            "version": encode_message("state", {"version": 99, "now": 1, "last": True}),
             "garbage": b"\xff{",
-            "half": pack("state", {"version": 1, "now": 1, "last": False, "phase": "standby"}),
-            "nonsense": pack("state", {"version": 1, "now": 1, "last": True, "known": [{"id": 5}]}),
+            "half": encode_message("state", {"version": 1, "now": 1, "last": False, "phase": "standby"}),
+            "nonsense": encode_message("state", {"version": 1, "now": 1, "last": True, "known": [{"id": 5}]}),
         }.get(how)
         if answer is not None:
             # What it will say waits in its socket: the new process reads it once it has connected.
@@ -360,7 +374,7 @@
             threading.Thread(target=lambda: meeting.accept()[0].send(answer), daemon=True).start()
         folder = tmp_path / "none" if how == "no folder" else tmp_path
         new = Process(folder, platform)
-        assert new.loop.time <= 1_000 * SECOND + STATE_TIME + SECOND // 10
+        assert new.loop.time <= 1_000 * SECOND + STATE_TIMEOUT_US + SECOND // 10
         assert new.known() and new.clients.lifecycle.ready
     meeting.close()
 
@@ -370,14 +384,14 @@
     with open(tmp_path / "file", "w") as file, socket.socket() as plain:
         number = {"a file": str(file.fileno()), "not listening": str(plain.fileno())}.get(value, value)
         with pytest.raises(ValueError, match="PROXY_FD is"):
-            inherited(number)
+            inherited_listener(number)
         plain.getsockname()  # it is still whole
 
 
 @given(st.binary(max_size=80) | st.text(max_size=40).map(lambda text: text.encode() + b"\nbody"))
 def test_a_message_is_read_or_unreadable(data):
     try:
-        kind, values, _ = unpack(data)
-    except Unreadable:
+        kind, values, _ = decode_message(data)
+    except MessageError:
         return
     assert isinstance(kind, str) and isinstance(values, dict)
--- a/tests/net/test_pushed_list.py
+++ b/tests/net/test_pushed_list.py
@@ -7,7 +7,7 @@
 from pulleyroute.__main__ import build, reload
 from pulleyroute.interface import ListKind
 from pulleyroute.net.config import load_config
-from pulleyroute.net.handover import Handover, place
+from pulleyroute.net.handover import Handover, handover_socket_path
 from tests.net.scene import INFO, MS, SECOND, Listener, Scene
 from tests.net.test_discovery import CHUNKS, chunk
 
@@ -197,15 +197,15 @@
     agent.loop.until(lambda: agent.ready() == [b"s-1"])
     handover = Handover(
         agent.loop,
-        place("/nowhere", agent.listener.sock),
+        handover_socket_path("/nowhere", agent.listener.sock),
         agent.scene.clients,
         agent.scene.host,
         agent.scene.discovery,
         None,
     )
-    handover._whole = True
+    handover._state_complete = True
     link = type("Link", (), {"shift": 0, "close": lambda self, why: None})()
-    handover._use(link, [{"phase": "serving"}, {"list": agent.scene.table("s-0", "s-1", revision=1)}])
+    handover._apply_state(link, [{"phase": "serving"}, {"list": agent.scene.table("s-0", "s-1", revision=1)}])
     assert agent.ready() == [b"s-0", b"s-1"]
     agent.opened(1).send(agent.line("s-0", phase="leaving", complete=False, revision=2))
     agent.loop.until(lambda: agent.ready() == [b"s-1"])
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -151,7 +151,7 @@
     config = replace(running[0].config, sockets=64, management=("127.0.0.1", 0))
     parts = build(config, StillLoop())
     before = parts.instances._most, parts.clients._most, parts.clients._most_jobs
-    parts.allow()
+    parts.apply_limits()
     assert (parts.instances._most, parts.clients._most, parts.clients._most_jobs) == before
 
 
--- a/tests/net/test_sizes.py
+++ b/tests/net/test_sizes.py
@@ -7,7 +7,7 @@
 from pulleyroute.net.http import BODY_LIMIT
 from tests.net.scene import Scene
 from tests.net.test_discovery import CHUNKS, chunk
-from tests.net.test_handover import Process, old, passing
+from tests.net.test_handover import Process, advance_until, old
 
 __all__ = ["old"]  # a fixture
 
@@ -57,7 +57,7 @@
     doubted = f"{'é' * LONG}-{COUNT - 1}".encode()
     rules.doubt(rules.workers[doubted])
     new: Process = old.next()
-    passing(old, lambda: new.discovery.size == COUNT)
+    advance_until(old, lambda: new.discovery.size == COUNT)
     assert new.discovery.version == 2
     assert new.host.avoided == 1
 
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -271,10 +271,10 @@
         scene.discovery.list.take(scene.table("s-0", "s-1", revision=2), cached=False)
         scene.discovery.freshness.confirm()
         handover = Handover(scene.loop, "/nowhere", scene.clients, scene.host, scene.discovery, None)
-        handover._whole = True
+        handover._state_complete = True
         link = type("Link", (), {"shift": 0, "close": lambda self, why: None})()
         state = {"list": scene.table("s-0", "s-1", revision=revision), "usable": usable}
-        handover._use(link, [{"phase": "serving"}, state])
+        handover._apply_state(link, [{"phase": "serving"}, state])
         assert scene.discovery.freshness.usable is want
         # In either case discovery is asked at once.
         assert b"?watch=1&from=%d " % revision in scene.discovery_peer.accept().message()[0]
