--- a/pulleyroute/net/handover.py
+++ b/pulleyroute/net/handover.py
@@ -1,20 +1,20 @@
-"""Two processes, one dispatcher: how a new one takes over from an old one that still serves.
+"""Hand-over between two processes of one dispatcher, from the old one that serves to the new one.
 
-They meet at a Unix socket in `$TMPDIR`, of kind SEQPACKET: a message arrives whole or not at all, and so does
-the descriptor that goes with it. `encode_message` and `decode_message` are the messages' form, without
-I/O, `Link` carries them, and `Handover` says what follows from each.
+The processes connect through a Unix socket in `$TMPDIR`, of type SOCK_SEQPACKET: a message arrives complete
+or not at all, together with the descriptor attached to it. `encode_message` and `decode_message` define the
+format of the messages and do no I/O, `Link` carries them, and `Handover` implements the protocol.
 
-| from | kind | what it says |
+| from | kind | meaning |
 | --- | --- | --- |
-| new | `hello` | here is another process, of this version, at this time of its clock |
-| old | `state` | its phase, the list, what is known of each instance; several, the last one marked |
-| new | `serving` | it takes the clients from here on |
-| old | `connection` | one of its connections, by descriptor, with the job that waits there if there is one |
-| old | `share` | how many descriptors and bytes it still holds |
-| both | `call`, `called` | a call-back for a job that is not here; whether it has been heard |
-
-A list that one message can't take goes as several of `list_part` in place of one `list`. A process of an
-earlier version passes those over, and asks discovery for the list.
+| new | `hello` | the version and the clock of the new process |
+| old | `state` | the phase, the list of instances, what is known of each; several messages, the last marked |
+| new | `serving` | the new process accepts clients from now on |
+| old | `connection` | one client connection, by descriptor, with the job that waits on it if there is one |
+| old | `share` | the descriptors, bytes and job ids that the old process still holds |
+| both | `call`, `called` | a call-back for a job that the sender does not have; whether it was delivered |
+
+A list that does not fit into one message is sent as several `list_part` values in place of one `list`. A
+process of an earlier version ignores those and fetches the list from discovery.
 """
 
 from __future__ import annotations
@@ -38,44 +38,47 @@
 from pulleyroute.net.loop import READABLE, WRITABLE, Coroutine, Loop, Task, Wait
 from pulleyroute.net.requests import Call
 
-VERSION = 1
+VERSION = 1  # of the protocol; both processes must have the same
 # A request body of 64 KiB and its head fit, and the message fits into the socket's send buffer.
 MAX_MESSAGE_BYTES = 180 * 1024
-MAX_PART_BYTES = 160 * 1024  # of a list in one message; the rest of the message needs room too
-STATE_TIMEOUT_US = 1_000_000  # for all of the old process's state
+MAX_PART_BYTES = 160 * 1024  # of a list, or of what is known of instances, which leaves room for the head
+STATE_TIMEOUT_US = 1_000_000  # for the complete state of the old process
 CALLBACK_TIMEOUT_US = 1_000_000  # without a confirmation by then, the instance has to call back again
-CALLBACK_POLL_US = 2_000  # between two looks whether it has come
+CALLBACK_POLL_US = 2_000  # between two checks for the confirmation
 SEND_TIMEOUT_US = 1_000_000
-USAGE_INTERVAL_US = 100_000
+USAGE_INTERVAL_US = 100_000  # between two `share` messages, and at most between two attempts to send
 
 Values = dict[str, Any]
-# What is done with a message: its kind, its values, its body and the socket that came with it.
+# Handles a message: its kind, its values, its body and the socket that was attached to it, if any.
 MessageHandler = Callable[[str, Values, bytes, socket.socket | None], None]
 
 
 class MessageError(ValueError):
-    """A message is not in form."""
+    """A message is malformed or does not fit the protocol."""
 
 
 def encode_message(kind: str, values: Values, body: bytes = b"") -> bytes:
-    """A message: its head as JSON, a line's end, its body."""
+    """Return a message: its head as JSON, a newline, its body."""
     return json.dumps({**values, "kind": kind}, separators=(",", ":")).encode() + b"\n" + body
 
 
 def decode_message(data: bytes) -> tuple[str, Values, bytes]:
-    """Its kind, its values and its body; raises MessageError."""
+    """Return the kind, the values and the body of a message; raises MessageError."""
     head, end, body = data.partition(b"\n")
     try:
         values = json.loads(head)
     except (ValueError, RecursionError):
-        raise MessageError("a message's head is not JSON") from None
+        raise MessageError("the head of a message is not JSON") from None
     if not end or not isinstance(values, dict) or not isinstance(values.get("kind"), str):
         raise MessageError("a message has no kind")
     return values.pop("kind"), values, body
 
 
 class Link:
-    """One connection between two processes. Owns the socket; `gone` is called once when it ends."""
+    """One connection between two processes.
+
+    Owns the socket. `on_closed` is called once, when the connection ends.
+    """
 
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         self._loop, self._sock = loop, sock
@@ -83,23 +86,26 @@
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * MAX_MESSAGE_BYTES)
         self.closed = False
-        self.shift = 0  # from the other's clock to this one's
+        self.shift = 0  # microseconds to add to a time of the peer's clock
         self.on_message: MessageHandler = lambda kind, values, body, sock: None
         self.on_closed: Callable[[], None] = lambda: None
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start to read messages."""
         self._task = self._loop.spawn(self._read_messages(), "hand-over")
 
     def handshake(self, values: Values) -> None:
-        """Take the other's version, which has to be this one's, and its clock."""
+        """Set `shift` from the clock of the peer; raises MessageError if its version is another."""
         if values["version"] != VERSION:
-            raise MessageError(f"it speaks version {values['version']}, this process {VERSION}")
+            raise MessageError(f"the other process speaks version {values['version']}, this one {VERSION}")
         self.shift = self._loop.now() - values["now"]
 
     def send(self, kind: str, values: Values, body: bytes = b"", fd: int | None = None) -> bool:
-        """Whether it is with the kernel, and so the other's; nothing of it is where not."""
+        """Send a message, with a descriptor if given; returns whether the kernel accepted all of it.
+
+        A message that was accepted will reach the peer. Of one that was not, nothing is sent.
+        """
         if self.closed:
             return False
         data = encode_message(kind, values, body)
@@ -117,7 +123,7 @@
         return True
 
     def deliver(self, kind: str, values: Values) -> Coroutine[bool]:
-        """Send, waiting for room where there is none; whether it went."""
+        """Send a message, waiting until the socket has room; returns whether it was sent in time."""
         until = self._loop.now() + SEND_TIMEOUT_US
         while not self.send(kind, values):
             if self.closed or self._loop.now() >= until:
@@ -126,10 +132,11 @@
         return True
 
     def close(self, why: str) -> None:
+        """End the connection; `why` goes into the log."""
         if self.closed:
             return
         self.closed = True
-        logger.bind(event="handover.ended").info("hand-over: the other process is gone: {}", why)
+        logger.bind(event="handover.ended").info("hand-over: connection to the other process ended: {}", why)
         if self._task is not None:
             self._task.cancel()
         self._loop.forget(self._sock.fileno())
@@ -147,35 +154,44 @@
                 self.close(str(exc))
                 return
             if not data:
-                self.close("it has closed the connection")
+                self.close("closed by the other process")
                 return
             sock = socket.socket(fileno=fds[0]) if fds else None
             try:
                 if flags & socket.MSG_TRUNC:
-                    raise MessageError("a message is too long")
+                    raise MessageError(f"a message is longer than {2 * MAX_MESSAGE_BYTES} bytes")
                 self.on_message(*decode_message(data), sock)
             except Exception as exc:
-                # Guards against another version, or a mistake, that both would go on with.
+                # The other process may have another version or a bug. Neither process may act on half a
+                # hand-over, so any error here ends the connection.
                 logger.bind(event="handover.unreadable").opt(exception=exc).error(
-                    "hand-over: a message can't be used: {}", exc
+                    "hand-over: invalid message: {}", exc
                 )
                 if sock is not None:
                     sock.close()
-                self.close("a message can't be used")
+                self.close("it sent an invalid message")
                 return
             if self.closed:
                 return
 
 
 class ResourceBudget(Protocol):
-    """What the process may hold; `other` is what another process of the dispatcher holds of it."""
+    """The descriptors and bytes that the processes of one dispatcher may hold together.
+
+    `usage` returns those that this process holds, and `set_peer_usage` sets those that the other one holds,
+    None if there is no other.
+    """
 
     def usage(self) -> tuple[int, int]: ...
-    def set_peer_usage(self, other: tuple[int, int] | None) -> None: ...
+    def set_peer_usage(self, usage: tuple[int, int] | None) -> None: ...
 
 
 class Handover:
-    """Owns the meeting place and the links: to the process before this one, and to the one after it."""
+    """Runs both sides of a hand-over.
+
+    Owns the socket on which the next process connects, the link to the predecessor, which served before this
+    process, and the link to the successor.
+    """
 
     def __init__(
         self,
@@ -186,7 +202,7 @@
         discovery: DiscoveryClient,
         budget: ResourceBudget,
     ) -> None:
-        """`path`: the meeting place, from `handover_socket_path`."""
+        """`path`: of the hand-over socket, from `handover_socket_path`."""
         self._loop, self._clients, self._host, self._discovery = loop, clients, host, discovery
         self._budget = budget
         self._path = path
@@ -194,37 +210,35 @@
         self._accepting: Task | None = None
         self._predecessor: Link | None = None
         self._successor: Link | None = None
-        self._state_complete = False  # the state has come, all of it
+        self._state_complete = False  # the last `state` message of the predecessor has arrived
         self._call_numbers = itertools.count()
-        self._pending_calls: dict[int, bool | None] = {}  # call-backs on the way, and what was answered
+        self._pending_calls: dict[int, bool | None] = {}  # call-backs sent to a peer, with its answer
         clients.elsewhere = self.relay_call
 
     # The new process
 
     def take_over(self, listener: socket.socket) -> Coroutine[None]:
-        """Take what an old process hands over, if there is one that answers, and then serve."""
+        """Take over from the old process if there is one that answers, then serve on `listener`."""
         phase = Phase.SERVING
         sock = self._connect()
         if sock is not None:
             link = self._predecessor = Link(self._loop, sock)
             state: list[Values] = []
-            link.on_message, link.on_closed = (
-                self._predecessor_handler(link, state),
-                self._on_predecessor_closed,
-            )
+            link.on_message, link.on_closed = self._predecessor_handler(link, state), self._predecessor_closed
             link.start()
             until = self._loop.now() + STATE_TIMEOUT_US
             link.send("hello", {"version": VERSION, "now": self._loop.now()})
             while not (link.closed or self._state_complete) and self._loop.now() < until:
                 yield Wait(until=min(until, self._loop.now() + 5_000))
             phase = self._apply_state(link, state)
-        # The old process goes on until then; without one, clients wait in the listener's queue.
+        # Until the list may be used, the old process serves. If there is none, clients wait in the backlog of
+        # the listener.
         self._discovery.freshness.when_usable(lambda: self._serve(listener, phase))
 
     def _serve(self, listener: socket.socket, phase: Phase) -> None:
-        """Take the clients, in the phase that the old process was in."""
+        """Accept clients, in the phase of the old process."""
         if self._clients.lifecycle.phase is Phase.ENDING:
-            return  # SIGTERM came first: the old process, if there is one, goes on
+            return  # SIGTERM came first; an old process, if there is one, continues to serve
         self._clients.listener.listen_on(listener)
         self._clients.lifecycle.serve()
         if phase is Phase.STANDBY:
@@ -233,7 +247,7 @@
         if self._predecessor is not None:
             self._predecessor.send("serving", {})
         logger.bind(event="serving").info(
-            "taking clients{}", "" if self._predecessor is None else ", taken over"
+            "accepting clients{}", "" if self._predecessor is None else ", taken over from another process"
         )
 
     def _connect(self) -> socket.socket | None:
@@ -243,10 +257,10 @@
             sock.setblocking(False)
             sock.connect(self._path)
             if not is_same_user(sock):
-                raise OSError("another user's process is there")
+                raise OSError("the process at the socket belongs to another user")
         except OSError as exc:
-            # No file, a stale one, a process that has hung up: there is nobody to take over from.
-            logger.bind(event="handover.alone").info("hand-over: nobody to take over from: {}", exc)
+            # There is no socket file, or a stale one, or its process has ended.
+            logger.bind(event="handover.alone").info("hand-over: no process to take over from: {}", exc)
             if sock is not None:
                 sock.close()
             return None
@@ -269,32 +283,32 @@
         return on_message
 
     def _apply_state(self, link: Link, state: list[Values]) -> Phase:
-        """Put the old process's state in force; what has not come whole is left alone."""
+        """Apply the state of the old process, unless it is incomplete; returns the phase to serve in."""
         if not self._state_complete:
-            # Guards the start against an old process that hangs: the new one does without it.
-            link.close("it did not tell its state in time")
+            # The old process may hang. The new one then starts without its state.
+            link.close(f"its state did not arrive within {STATE_TIMEOUT_US // 1_000_000} s")
             return Phase.SERVING
         usable = any(values.get("usable") is True for values in state)
         try:
             for values in join_list_parts(state):
                 if values.get("list") is not None:
-                    # Discovery may have told this process more already than the old one knew.
+                    # Discovery may already have given this process a newer list than the old one has.
                     recent = values["list"]["revision"] >= self._discovery.version
                     self._discovery.load_known(values["list"], confirmed=usable and recent)
-                    # At once: what discovery has told the old one since is not to be missed.
+                    # Watch at once, so that no change since the old process's revision is missed.
                     self._discovery.watch(True)
                 for item in values.get("known", []):
                     self._host.learn(item, link.shift)
         except Exception as exc:
-            # Guards the start: whatever the old process says, the new one has to serve.
+            # The new process has to serve, whatever the old one has sent.
             logger.bind(event="handover.unreadable").opt(exception=exc).error(
-                "hand-over: the state can't be used: {}", exc
+                "hand-over: invalid state: {}", exc
             )
-            link.close("its state can't be used")
+            link.close("it sent an invalid state")
             return Phase.SERVING
         return Phase.STANDBY if state[0].get("phase") == Phase.STANDBY.value else Phase.SERVING
 
-    def _on_predecessor_closed(self) -> None:
+    def _predecessor_closed(self) -> None:
         self._predecessor = None
         self._clients.theirs = frozenset()
         self._budget.set_peer_usage(None)
@@ -302,23 +316,23 @@
     # The old process
 
     def open_handover_socket(self) -> None:
-        """Be found by the next process; without it one that comes starts alone."""
+        """Listen for the next process. Without this socket, the next process starts without a hand-over."""
         try:
             self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
             self._socket.setblocking(False)
-            fresh = f"{self._path}.{os.getpid()}"
+            temporary = f"{self._path}.{os.getpid()}"
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(fresh)
-            self._socket.bind(fresh)
-            os.chmod(fresh, 0o600)
+                os.unlink(temporary)
+            self._socket.bind(temporary)
+            os.chmod(temporary, 0o600)
             self._socket.listen(4)
-            os.rename(fresh, self._path)  # in one step: there is always somebody, or a stale file
+            os.rename(temporary, self._path)  # atomic: at any moment the path is a live or a stale socket
         except OSError as exc:
-            # Normal where Unix sockets are refused or the folder is not writable.
-            logger.bind(event="handover.none").warning("hand-over: no meeting place: {}", exc)
+            # Expected where Unix sockets are not permitted or the directory is not writable.
+            logger.bind(event="handover.none").warning("hand-over: cannot listen for a successor: {}", exc)
             self._close_handover_socket()
             return
-        self._accepting = self._loop.spawn(self._accept_successors(self._socket), "hand-over door")
+        self._accepting = self._loop.spawn(self._accept_successors(self._socket), "hand-over listener")
 
     def _close_handover_socket(self) -> None:
         if self._accepting is not None:
@@ -337,7 +351,7 @@
                 yield Wait(listening.fileno(), READABLE)
                 continue
             except OSError as exc:
-                logger.bind(event="handover.none").warning("hand-over: cannot be met: {}", exc)
+                logger.bind(event="handover.none").warning("hand-over: cannot accept a successor: {}", exc)
                 return
             if not is_same_user(sock):
                 sock.close()
@@ -359,38 +373,38 @@
         return on_message
 
     def _send_state(self, link: Link) -> Coroutine[None]:
-        """Tell the state, in parts that a socket takes."""
+        """Send the state, in messages that fit into the socket's send buffer."""
         known = self._host.knowledge()
         members = self._discovery.entries()
         usable = self._discovery.freshness.usable
         parts: list[Values] = [{"phase": self._clients.lifecycle.phase.value, "usable": usable}]
-        # The list first: what is known of an instance goes to one that is listed.
+        # The list goes first: the new process applies what is known only to instances that are listed.
         parts += list_messages(self._discovery.version, members)
         parts += [{"known": part} for part in split_by_size(known)]
         for number, part in enumerate(parts):
             values = {**part, "version": VERSION, "now": self._loop.now(), "last": number == len(parts) - 1}
             if not (yield from link.deliver("state", values)):
-                link.close("it takes no state")
+                link.close("the state could not be sent in time")
                 return
 
     def _hand_over(self, link: Link) -> None:
-        """The new process serves: move everything there."""
-        logger.bind(event="handover.begun").info("hand-over: another process takes the clients")
+        """Move everything to the new process, which serves from now on."""
+        logger.bind(event="handover.begun").info("hand-over: another process accepts the clients from now on")
         self._successor = link
-        link.on_closed = self._on_successor_closed
+        link.on_closed = self._successor_closed
         self._close_handover_socket()
         self._clients.hand(lambda values, body, fd: link.send("connection", values, body, fd))
-        self._loop.spawn(self._report_usage(link), "hand-over shares")
+        self._loop.spawn(self._report_usage(link), "hand-over usage")
 
     def _report_usage(self, link: Link) -> Coroutine[None]:
         while not link.closed:
             descriptors, held = self._budget.usage()
-            # Those that could not move yet: their ids are taken for both processes.
+            # Jobs that could not move yet: the new process must not accept their ids again.
             link.send("share", {"descriptors": descriptors, "bytes": held, "jobs": self._host.ids()})
             yield Wait(until=self._loop.now() + USAGE_INTERVAL_US)
 
-    def _on_successor_closed(self) -> None:
-        """The new process is gone: unless this one was told to end, it goes on as before."""
+    def _successor_closed(self) -> None:
+        """The new process has ended: serve again, unless this process is stopping."""
         self._successor = None
         self._clients.resume()
         if self._clients.lifecycle.takes_clients:
@@ -399,18 +413,25 @@
     # Call-backs
 
     def relay_call(self, call: Call, body: bytes) -> Coroutine[bool]:
-        """A call-back for a job that is not here; False if the holder may not have heard it."""
+        """Deliver a call-back for a job that this process does not have.
+
+        Returns False if the process that has the job may not have received the call-back.
+        """
         for link in (self._predecessor, self._successor):
             if link is not None:
-                heard = yield from self._ask_peer(link, call.txn, body)
-                if heard is not False:
-                    return heard is True
-        # Nobody has it, or it moved here while its call-back was asked about: then it is known by now.
+                delivered = yield from self._ask_peer(link, call.txn, body)
+                if delivered is not False:
+                    return delivered is True
+        # No process has the job, or the job moved here in the meantime and is known by now.
         self._host.call(call)
         return True
 
     def _ask_peer(self, link: Link, txn: str, body: bytes) -> Coroutine[bool | None]:
-        """Whether the process at the link has the job and has heard the call; None if it does not say."""
+        """Send a call-back to the process at the link.
+
+        Returns True if that process delivered it, False if it does not have the job or the link is closed,
+        and None if it did not answer in time.
+        """
         number, until = next(self._call_numbers), self._loop.now() + CALLBACK_TIMEOUT_US
         self._pending_calls[number] = None
         try:
@@ -431,37 +452,37 @@
                 self._host.call(read_call(body, self._clients.settings))
                 link.send("called", {"number": values["number"], "heard": True})
                 return
-            on = self._predecessor if link is self._successor else self._successor
-            if on is None:
+            target = self._predecessor if link is self._successor else self._successor
+            if target is None:
                 link.send("called", {"number": values["number"], "heard": False})
-            else:  # guards two upgrades in a row: the one beyond may have it
-                self._loop.spawn(self._forward_call(link, on, values, body), "hand-over call")
+            else:  # with two upgrades in a row, the process behind the other link may have the job
+                self._loop.spawn(self._forward_call(link, target, values, body), "hand-over call")
         else:
-            raise MessageError(f"a message of kind {kind}")
+            raise MessageError(f"unknown message kind {kind}")
 
-    def _forward_call(self, link: Link, on: Link, values: Values, body: bytes) -> Coroutine[None]:
-        heard = yield from self._ask_peer(on, values["txn"], body)
-        if heard is not None:  # else the one that asks is left to its own time
-            link.send("called", {"number": values["number"], "heard": heard})
+    def _forward_call(self, link: Link, target: Link, values: Values, body: bytes) -> Coroutine[None]:
+        delivered = yield from self._ask_peer(target, values["txn"], body)
+        if delivered is not None:  # without an answer, the process that asked runs into its own time-out
+            link.send("called", {"number": values["number"], "heard": delivered})
 
 
 def split_by_size(items: list[Any]) -> Iterator[list[Any]]:
-    """The items in their order, in lists of at most `MAX_PART_BYTES` bytes of JSON each, or of one item."""
+    """Split the items, in order, into lists of at most `MAX_PART_BYTES` bytes of JSON, or of one item."""
     part: list[Any] = []
     size = 0
     for item in items:
-        more = len(json.dumps(item, separators=(",", ":"))) + 1
-        if part and size + more > MAX_PART_BYTES:
+        item_size = len(json.dumps(item, separators=(",", ":"))) + 1
+        if part and size + item_size > MAX_PART_BYTES:
             yield part
             part, size = [], 0
         part.append(item)
-        size += more
+        size += item_size
     if part:
         yield part
 
 
 def list_messages(version: int, members: list[Any]) -> list[Values]:
-    """The list of instances as values of `state` messages."""
+    """Return the values of the `state` messages that carry the list of instances."""
     parts = [{"revision": version, "complete": True, "members": part} for part in split_by_size(members)]
     if len(parts) > 1:
         return [{"list_part": part} for part in parts]
@@ -469,7 +490,7 @@
 
 
 def join_list_parts(state: list[Values]) -> list[Values]:
-    """The state with a list that came in parts as one `list`, ahead of what is known of its instances."""
+    """Return the state with the parts of a split list joined into one `list`, ahead of all other values."""
     parts = [values["list_part"] for values in state if "list_part" in values]
     if not parts:
         return state
@@ -477,20 +498,20 @@
     return [{"list": {**parts[-1], "members": members}}, *state]
 
 
-def handover_socket_path(folder: str, listener: socket.socket) -> str:
-    """Where the processes that share this listener meet, and nobody else who uses the folder."""
+def handover_socket_path(directory: str, listener: socket.socket) -> str:
+    """Return the path of the hand-over socket, the same for all processes that share this listener."""
     host, port = listener.getsockname()
-    return str(Path(folder) / f"pulleyroute-{host}-{port}.sock")
+    return str(Path(directory) / f"pulleyroute-{host}-{port}.sock")
 
 
 def is_same_user(sock: socket.socket) -> bool:
-    """Whether the process at the other end is of the same user: jobs are handed to nobody else."""
+    """Whether the process at the other end runs as the same user; jobs are handed to no other."""
     _, user, _ = struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
     return bool(user == os.getuid())
 
 
 def inherited_listener(text: str) -> socket.socket:
-    """The listening socket that `$PROXY_FD` names; raises ValueError if it names none."""
+    """Return the listening socket whose descriptor `$PROXY_FD` gives; raises ValueError if it is none."""
     try:
         number = int(text)
         if number < 3:
@@ -498,12 +519,12 @@
         sock = socket.socket(fileno=number)
     except (ValueError, OverflowError, OSError):
         raise ValueError(f"PROXY_FD is {text!r}, not the number of an open socket") from None
-    listens = (
+    is_listener = (
         sock.family == socket.AF_INET
         and sock.type == socket.SOCK_STREAM
         and sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     )
-    if not listens:
+    if not is_listener:
         sock.detach()
         raise ValueError(f"PROXY_FD is {text!r}, not a socket that listens for TCP over IPv4")
     sock.set_inheritable(False)
