--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one dispatcher on one loop: what moves, what is relayed, what happens when one is gone."""
+"""Hand-over between two processes on one loop: moved connections, relayed call-backs, a process that dies."""
 
 import json
 import os
@@ -26,18 +26,20 @@
 
 
 class FakeBudget:
+    """A `ResourceBudget` with a fixed usage of its own."""
+
     def __init__(self):
         self.peer_usage = None
 
     def usage(self):
         return 7, 700
 
-    def set_peer_usage(self, other):
-        self.peer_usage = other
+    def set_peer_usage(self, usage):
+        self.peer_usage = usage
 
 
 class Process(Scene):
-    """One process of a dispatcher whose clients' socket the platform holds."""
+    """One process of a dispatcher whose listening socket is inherited from the platform."""
 
     def __init__(self, folder, platform, **more):
         self.folder, self.platform = str(folder), platform
@@ -62,7 +64,7 @@
         return Process(self.folder, self.platform, beside=self, listens=listens)
 
     def die(self):
-        """As the kernel does it: what it holds is closed, nothing else is said."""
+        """End as on SIGKILL: the kernel closes all descriptors, and no message is sent."""
         self.clients.listener.pause()
         self.clients._move = None
         self.handover._close_handover_socket()
@@ -78,13 +80,13 @@
 
 
 def advance_until(scene, condition):
-    """Turn with time going on, since a hand-over waits in small steps."""
+    """Run the loop until the condition is true, 10 ms of its time a turn, as a hand-over polls."""
 
-    def held():
+    def advance():
         scene.loop.skip(10_000)
         return condition()
 
-    return scene.loop.until(held)
+    return scene.loop.until(advance)
 
 
 @pytest.fixture
@@ -94,12 +96,12 @@
 
 
 def open_job(scene, path, txn, accept=True):
-    """A job, and the instance's end of the connection that its attempt went out on."""
+    """Send a job; returns its client, its instance and the instance's end of the attempt's connection."""
     return scene.ask(path, txn), *scene.take(txn, accept)
 
 
-def told(scene, txn, instance, state="done"):
-    """A call-back, with time going on as it may be relayed: the head of its answer."""
+def send_callback(scene, txn, instance, state="done"):
+    """Send a call-back and return the head of its answer. Time advances, as the call-back may be relayed."""
     body = json.dumps({"id": txn, "state": state, "result": f"of {txn}", "from": instance}).encode()
     peer = scene.client()
     peer.send(callback(body))
@@ -109,16 +111,16 @@
     return head
 
 
-def test_connections_and_jobs_move_and_nobody_notices(old):
+def test_connections_and_jobs_move_unnoticed_by_their_clients(old):
     idle, silent = old.known(), old.client()
     client, instance, _ = open_job(old, "/charge", "t1")
     waiting, late, peer = open_job(old, "/read", "t2", accept=False)
-    client.send(b"GET /-/re")  # sent ahead: the bytes are read already, and go with the job
+    client.send(b"GET /-/re")  # pipelined: the bytes are read already, and move with the job
     old.loop.settle()
     new = old.next()
     advance_until(old, lambda: new.host.knows("t1"))
     assert not old.host.knows("t1") and old.host.knows("t2") and new.clients.count == 3
-    assert b" 204 " in told(new, "t1", instance)
+    assert b" 204 " in send_callback(new, "t1", instance)
     head, body = client.message()
     assert b" 200 " in head and body == b"of t1" and b"close" not in head.lower()
     client.send(b"ady HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -127,9 +129,9 @@
     assert b" 200 " in idle.message()[0]
     new.ask("/read", "t3", peer=silent)
     new.loop.until(lambda: new.host.knows("t3"))
-    peer.send(TAKEN)  # now that its instance has it, it moves too
+    peer.send(TAKEN)  # once its instance has accepted the job, it moves too
     advance_until(old, lambda: new.host.knows("t2"))
-    told(new, "t2", late)
+    send_callback(new, "t2", late)
     assert waiting.message()[1] == b"of t2"
     assert not old.host.open and not old.clients.count and not old.loop.errors
     assert new.shown() == {
@@ -148,15 +150,15 @@
     client, instance, _ = open_job(old, path, "t1")
     new = old.next()
     advance_until(old, lambda: new.host.knows("t1"))
-    told(new, "t1", instance, "lost")
+    send_callback(new, "t1", instance, "lost")
     new.loop.skip(SECOND)
-    if not again:  # it may have run: never twice, through whatever process
+    if not again:  # it may have run, and must not run twice, whichever process sends it
         assert b" 502 " in client.message()[0]
         return
     assert len(new.host._by_txn["t1"].attempts) == 2
     second, _ = new.take("t1")
     assert second != instance
-    told(new, "t1", second)
+    send_callback(new, "t1", second)
     assert client.message()[1] == b"of t1"
 
 
@@ -171,16 +173,17 @@
 
 
 def test_a_call_back_that_nobody_confirms_is_asked_for_again(old):
-    # Guards the job: 204 would be the instance's last word on it.
+    # After a 204, the instance would not repeat the call-back, and the job's result would be lost.
     open_job(old, "/charge", "t1", accept=False)
     new = old.next()
     advance_until(old, lambda: old.clients.lifecycle.phase is Phase.HANDED)
-    old.handover._successor._task.cancel()  # it hangs
-    assert b" 503 " in told(new, "t1", "s-0")
+    old.handover._successor._task.cancel()  # the new process hangs
+    assert b" 503 " in send_callback(new, "t1", "s-0")
 
 
 def test_an_id_that_the_old_process_works_on_is_no_new_job_of_the_new_one(old):
-    # Guards the rule on repeats against a client that sends another's id while its job cannot move yet.
+    # A job that has no accepted attempt cannot move yet. If another client sends its id to the new process
+    # meanwhile, that is a repeat and must be rejected.
     client, instance, peer = open_job(old, "/charge", "t1", accept=False)
     new = old.next()
     advance_until(old, lambda: new.clients.theirs)
@@ -188,7 +191,7 @@
     peer.send(TAKEN)
     advance_until(old, lambda: new.host.knows("t1"))
     assert b" 409 " in new.ask("/charge", "t1").message()[0]
-    told(new, "t1", instance)
+    send_callback(new, "t1", instance)
     assert client.message()[1] == b"of t1"
 
 
@@ -197,7 +200,7 @@
     new = old.next(listens=False)
     receive = Downstream.receive
 
-    def late(clients, *more):  # somebody takes the id at the last moment
+    def late(clients, *more):  # another client uses the id just before the job arrives
         other.append(new.ask("/charge", "t1"))
         new.loop.until(lambda: new.host.knows("t1"))
         receive(clients, *more)
@@ -224,7 +227,7 @@
     advance_until(old, lambda: new.host.knows("t0") and new.host.knows("t2"))
     assert old.host.knows("t1")
     for n, (client, instance, _) in enumerate(jobs):
-        told(new, f"t{n}", instance)
+        send_callback(new, f"t{n}", instance)
         assert client.message()[1] == f"of t{n}".encode()
 
 
@@ -237,9 +240,9 @@
         before, new = new, new.next()
         advance_until(old, lambda p=before: p.clients.lifecycle.phase is Phase.HANDED)
     if state == "unknown":
-        assert b" 204 " in told(new, "nobody", instance)
+        assert b" 204 " in send_callback(new, "nobody", instance)
         return
-    assert b" 204 " in told(new, "t1", instance, state)
+    assert b" 204 " in send_callback(new, "t1", instance, state)
     assert (b" 200 " if state == "done" else b" 502 ") in client.message()[0]
 
 
@@ -257,71 +260,71 @@
     rules.runs["read"] = 4321.0
     rules.busy = 1.75
     new = old.next()
-    heirs = new.host._dispatcher
+    new_rules = new.host._dispatcher
     assert new.discovery.version == 5 and not new.discovery.active(b"s-1") and new.discovery.size == 3
-    assert abs(heirs.workers[b"s-0"].down_until - until) <= 20_000 and new.host.avoided == 1
-    assert heirs.workers[b"s-2"].budget == 0.75 and cold.budget == 0.0
-    assert heirs.runs == {"read": 4321.0} and heirs.busy == 1.75
+    assert abs(new_rules.workers[b"s-0"].down_until - until) <= 20_000 and new.host.avoided == 1
+    assert new_rules.workers[b"s-2"].budget == 0.75 and cold.budget == 0.0
+    assert new_rules.runs == {"read": 4321.0} and new_rules.busy == 1.75
     earlier = {**snapshot.knowledge(rules), "load": 3.5}
-    del earlier["busy"]  # as a version tells that kept none
-    snapshot.learn(heirs, earlier)
-    assert heirs.load == 3.5 and heirs.busy == 1.75
+    del earlier["busy"]  # as an earlier version sends it, which had no such mean
+    snapshot.learn(new_rules, earlier)
+    assert new_rules.load == 3.5 and new_rules.busy == 1.75
     assert b"watch=1&from=5" in new.discovery_peer.accept().message()[0]
 
 
-# The exchange of the test below: hello, three parts of the state, serving, a connection and two jobs.
+# The messages of the test below: hello, three parts of the state, serving, a connection and two jobs.
 MESSAGES = ["hello", "state", "state", "state", "serving", "connection", "connection", "connection"]
 
 
-@pytest.mark.parametrize("doomed", ["old", "new"])
+@pytest.mark.parametrize("victim", ["old", "new"])
 @pytest.mark.parametrize("number", range(len(MESSAGES)))
-def test_killed_before_any_message_no_job_is_with_both_or_sent_twice(old, monkeypatch, doomed, number):
-    """What the one that stays has it answers; what the dead one had ends on its clients."""
+def test_killed_before_any_message_no_job_is_with_both_or_sent_twice(old, monkeypatch, victim, number):
+    """The surviving process answers its jobs; clients of the dead process lose their connection."""
     idle = old.known()
     jobs = {txn: open_job(old, "/charge", txn, accept=txn != "t3") for txn in ("t1", "t2", "t3")}
     processes, seen, links, send = {"old": old}, [], {"old": [], "new": []}, Link.send
 
     def die():
-        for link in links[doomed]:
+        for link in links[victim]:
             link.on_closed = lambda: None
             link.close("killed")
-        processes[doomed].die()
+        processes[victim].die()
 
-    def watched(link, kind, *more):
+    def send_until_death(link, kind, *more):
         sender = "new" if kind in ("hello", "serving") else "old"
         links[sender].append(link)
         if kind != "share":
             if len(seen) == number:
                 old.loop.call_at(old.loop.now(), die)
             seen.append(kind)
-        return (len(seen) <= number or sender != doomed) and send(link, kind, *more)
+        return (len(seen) <= number or sender != victim) and send(link, kind, *more)
 
-    monkeypatch.setattr(Link, "send", watched)
+    monkeypatch.setattr(Link, "send", send_until_death)
     processes["new"] = new = old.next(listens=False)
     new.serve()
     old.loop.skip(1_500_000)
     assert seen[: number + 1] == MESSAGES[: number + 1]
-    stays = processes["new" if doomed == "old" else "old"]
-    advance_until(old, lambda: stays.clients.lifecycle.ready)
+    survivor = processes["new" if victim == "old" else "old"]
+    advance_until(old, lambda: survivor.clients.lifecycle.ready)
     for txn, (client, instance, peer) in jobs.items():
         assert not (old.host.knows(txn) and new.host.knows(txn))
-        if not stays.host.knows(txn):
-            stays.gone(client)
+        if not survivor.host.knows(txn):
+            survivor.gone(client)
             continue
-        (attempt,) = stays.host._by_txn[txn].attempts
+        (attempt,) = survivor.host._by_txn[txn].attempts
         if not attempt.accepted:
             peer.send(TAKEN)
-            stays.loop.until(lambda e=attempt: e.accepted)
-        assert b" 204 " in told(stays, txn, instance)
+            survivor.loop.until(lambda e=attempt: e.accepted)
+        assert b" 204 " in send_callback(survivor, txn, instance)
         assert client.message()[1] == f"of {txn}".encode()
-    assert stays.known()
+    assert survivor.known()
     monkeypatch.undo()
-    if doomed == "new":
-        assert old.next().clients.lifecycle.ready  # it can be met again
+    if victim == "new":
+        assert old.next().clients.lifecycle.ready  # the old process accepts a new successor
     idle.close()
 
 
-def test_another_users_process_at_the_meeting_place_is_nobody_and_sigterm_before_the_start_ends_it(
+def test_another_users_process_at_the_socket_is_ignored_and_sigterm_before_the_start_ends_it(
     old, monkeypatch
 ):
     with monkeypatch.context() as patch:
@@ -352,14 +355,14 @@
 
 
 @pytest.mark.parametrize("how", ["stale", "silent", "version", "garbage", "half", "no folder", "nonsense"])
-def test_whatever_is_at_the_meeting_place_the_new_process_serves_in_time(tmp_path, how):
+def test_whatever_is_at_the_socket_the_new_process_serves_in_time(tmp_path, how):
     platform = socket.create_server(("127.0.0.1", 0))
-    meeting = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    meeting.bind(handover_socket_path(str(tmp_path), platform))
+    occupant = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    occupant.bind(handover_socket_path(str(tmp_path), platform))
     if how == "stale":
-        meeting.close()
+        occupant.close()
     else:
-        meeting.listen()
+        occupant.listen()
     with platform:
         answer = {
             "version": encode_message("state", {"version": 99, "now": 1, "last": True}),
@@ -368,15 +371,15 @@
             "nonsense": encode_message("state", {"version": 1, "now": 1, "last": True, "known": [{"id": 5}]}),
         }.get(how)
         if answer is not None:
-            # What it will say waits in its socket: the new process reads it once it has connected.
+            # The answer is sent as soon as the new process connects, and waits in the socket until it reads.
             import threading
 
-            threading.Thread(target=lambda: meeting.accept()[0].send(answer), daemon=True).start()
+            threading.Thread(target=lambda: occupant.accept()[0].send(answer), daemon=True).start()
         folder = tmp_path / "none" if how == "no folder" else tmp_path
         new = Process(folder, platform)
         assert new.loop.time <= 1_000 * SECOND + STATE_TIMEOUT_US + SECOND // 10
         assert new.known() and new.clients.lifecycle.ready
-    meeting.close()
+    occupant.close()
 
 
 @pytest.mark.parametrize("value", ["", "x", "-1", "2", "999", "1e1", str(10**30), "a file", "not listening"])
@@ -385,7 +388,7 @@
         number = {"a file": str(file.fileno()), "not listening": str(plain.fileno())}.get(value, value)
         with pytest.raises(ValueError, match="PROXY_FD is"):
             inherited_listener(number)
-        plain.getsockname()  # it is still whole
+        plain.getsockname()  # the descriptor is still open
 
 
 @given(st.binary(max_size=80) | st.text(max_size=40).map(lambda text: text.encode() + b"\nbody"))
