--- a/tests/net/test_http2_frames.py
+++ b/tests/net/test_http2_frames.py
@@ -1,4 +1,4 @@
-"""What is taken past h2 beside h2 itself: the same bytes, windows and events, however the frames are cut."""
+"""Merged frames give h2 the same bytes, windows and events as the original ones, however they are split."""
 
 import h2.config
 import h2.connection
@@ -25,15 +25,16 @@
 )
 
 
-def side(client):
+def connect_h2(client):
+    """Return an h2 connection in the given role that has sent its preface and settings."""
     connection = h2.connection.H2Connection(h2.config.H2Configuration(client_side=client))
     connection.initiate_connection()
     return connection
 
 
-def spoken(steps):
-    """What a client says on the wire for these steps; what the states do not allow is left out."""
-    client, ids = side(True), []
+def client_bytes(steps):
+    """Return the bytes that a client sends for these steps, without those that its states do not allow."""
+    client, ids = connect_h2(True), []
     for step, which, size in [("open", 0, 0), *steps]:
         if step == "open":
             ids.append(client.get_next_available_stream_id())
@@ -59,13 +60,13 @@
                 client.send_headers(stream, [("x", "y")], end_stream=True)
             else:
                 client.ping(b"12345678")
-        except (h2.exceptions.ProtocolError, KeyError):  # h2 has forgotten the stream
+        except (h2.exceptions.ProtocolError, KeyError):  # KeyError: h2 has dropped the state of the stream
             continue
     return client.data_to_send()
 
 
-def heard(events):
-    """Data by stream, and all other events in their order (windows by their sums)."""
+def summarize(events):
+    """Return the data by stream, the other events in order, and the window increments summed by stream."""
     data, rest, windows = {}, [], {}
     for event in events:
         if isinstance(event, h2.events.DataReceived):
@@ -78,18 +79,18 @@
 
 
 @given(STEPS, st.lists(st.integers(1, 3000), min_size=1, max_size=8))
-def test_h2_hears_the_same_through_the_merger_however_it_is_cut(steps, cuts):
-    wire = spoken(steps)
-    plain = side(False)
-    expected = heard(plain.receive_data(wire))
-    merged, merger, events = side(False), FrameMerger(16_384, True, lambda kind: None), []
+def test_h2_sees_the_same_through_the_merger_however_the_bytes_are_split(steps, cuts):
+    wire = client_bytes(steps)
+    plain = connect_h2(False)
+    expected = summarize(plain.receive_data(wire))
+    merged, merger, events = connect_h2(False), FrameMerger(16_384, True, lambda kind: None), []
     at = i = 0
     while at < len(wire):
         size = cuts[i % len(cuts)]
         for item in merger.feed(wire[at : at + size]):
             events += merged.receive_data(encode_item(*item) if isinstance(item, tuple) else item)
         at, i = at + size, i + 1
-    assert heard(events) == expected
+    assert summarize(events) == expected
     assert merged.outbound_flow_control_window == plain.outbound_flow_control_window
     assert merged.inbound_flow_control_window == plain.inbound_flow_control_window
 
@@ -107,7 +108,7 @@
     ] == [16_384, 20_000 - 16_384]
 
 
-def test_a_frame_longer_than_allowed_is_known_by_its_head():
+def test_a_frame_longer_than_allowed_is_rejected_by_its_header():
     merger = FrameMerger(16_384, False, lambda kind: None)
     assert merger.feed(data_frame(1, b"x" * 16_384)[:9]) == []
     with pytest.raises(FrameTooLong):
@@ -146,8 +147,8 @@
         return found
 
     assert rests(WakeupPacing(50), ROW + 3, 40) == [0] * (ROW - 1) + [50] * 4
-    assert not any(rests(WakeupPacing(50), 100, CLOSE))  # one message and its answer: never held up
+    assert not any(rests(WakeupPacing(50), 100, CLOSE))  # one message and its answer: never delayed
     assert not any(rests(WakeupPacing(0), 100, 40))
     assert rests(WakeupPacing(50), 2 * ROW + 4, 40, other=ROW + 1)[ROW : ROW + 3] == [50, 0, 0]
     quiet = WakeupPacing(50)
-    assert [quiet.rest(i) for i in range(100)] == [0] * 100  # wake-ups for anything else
+    assert [quiet.rest(i) for i in range(100)] == [0] * 100  # wake-ups without a read from a connection
