--- a/pulleyroute/net/tls.py
+++ b/pulleyroute/net/tls.py
@@ -1,4 +1,4 @@
-"""TLS over memory BIOs: bytes in, bytes out, no socket in sight. Contexts are made here."""
+"""TLS contexts, and TLS over memory BIOs: the caller does all socket I/O."""
 
 from __future__ import annotations
 
@@ -7,14 +7,16 @@
 
 from pulleyroute.net.http import Broken
 
-ALPN = ["h2"]
-CHUNK = 64 * 1024
+ALPN_PROTOCOLS = ["h2"]
+READ_BYTES = 64 * 1024  # of plaintext at a time
 
 
 @dataclass(slots=True, frozen=True)
 class CertificateFiles:
-    """Where a listener's certificate chain and key are, both PEM; `client_ca`: the CA of clients'
-    certificates."""
+    """Paths of PEM files: the certificate chain and the key of a listener, and the CA of client certificates.
+
+    Without `client_ca`, clients need no certificate.
+    """
 
     certificate: str
     key: str
@@ -22,10 +24,10 @@
 
 
 def server_context(files: CertificateFiles) -> ssl.SSLContext:
-    """A context for a listener; raises ValueError with one plain line if the files can't be used."""
+    """Return the context of a listener; raises ValueError with a one-line message if a file is unusable."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    context.set_alpn_protocols(ALPN)
+    context.set_alpn_protocols(ALPN_PROTOCOLS)
     try:
         context.load_cert_chain(files.certificate, files.key)
         if files.client_ca:
@@ -37,58 +39,64 @@
 
 
 def client_context(ca: str) -> ssl.SSLContext:
-    """A context for connections to instances whose certificates the CA in this PEM file has signed."""
+    """Return the context of connections to instances with certificates signed by the CA in this PEM file.
+
+    Without a path, the CAs of the system are trusted. Raises ValueError if the file is unusable.
+    """
     try:
         context = ssl.create_default_context(cafile=ca or None)
     except (OSError, ssl.SSLError) as exc:
         raise ValueError(f"CA {ca}: {exc}") from None
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    context.set_alpn_protocols(ALPN)
+    context.set_alpn_protocols(ALPN_PROTOCOLS)
     return context
 
 
 class Tls:
-    """One connection's TLS state. Owns its BIOs; the socket is its user's."""
+    """The TLS state of one connection. Owns its BIOs; the caller owns the socket.
+
+    `name`: of the server, which a client sends as SNI and verifies in the certificate.
+    """
 
     def __init__(self, context: ssl.SSLContext, server: bool, name: str | None = None) -> None:
         self._incoming, self._outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
         self._object = context.wrap_bio(self._incoming, self._outgoing, server, name)
-        self._waiting: list[bytes] = []  # to be sent once the handshake is over
+        self._pending: list[bytes] = []  # to be encrypted once the handshake is complete
         self.ready = False
 
     def start(self) -> None:
-        """A client speaks first."""
+        """Start the handshake as the client: `take` then returns the ClientHello."""
         self._advance()
 
     def receive(self, data: bytes) -> bytes:
-        """What the peer sent, decrypted as far as it goes; raises Broken if it is not TLS as agreed."""
+        """Decrypt bytes from the peer; raises Broken if they are not TLS, or if ALPN did not select h2."""
         self._incoming.write(data)
         parts: list[bytes] = []
         try:
             if not self.ready and not self._advance():
                 return b""
             while True:
-                part = self._object.read(CHUNK)
+                part = self._object.read(READ_BYTES)
                 if not part:
                     break
                 parts.append(part)
         except ssl.SSLWantReadError:
             pass
         except ssl.SSLZeroReturnError:
-            pass  # the end of the connection itself follows
+            pass  # close_notify: the peer closes the connection next
         except ssl.SSLError as exc:
             raise Broken(f"TLS: {exc.reason or exc}") from None
         return b"".join(parts)
 
     def send(self, data: bytes) -> None:
-        """Encrypt, or keep until the handshake is over."""
+        """Encrypt data for the peer, or keep it until the handshake is complete."""
         if self.ready:
             self._object.write(data)
         else:
-            self._waiting.append(data)
+            self._pending.append(data)
 
     def take(self) -> bytes:
-        """What is to go to the peer."""
+        """Return and remove the bytes to be sent to the peer."""
         return self._outgoing.read() if self._outgoing.pending else b""
 
     def _advance(self) -> bool:
@@ -99,10 +107,10 @@
         except ssl.SSLError as exc:
             raise Broken(f"TLS: {exc.reason or exc}") from None
         if self._object.selected_alpn_protocol() != "h2":
-            # Guards against a peer that speaks something else on the same port and would be misread.
+            # A peer that agreed on another protocol would send bytes that are not HTTP/2 frames.
             raise Broken("TLS: the peer did not agree on h2")
         self.ready = True
-        for data in self._waiting:
+        for data in self._pending:
             self._object.write(data)
-        self._waiting.clear()
+        self._pending.clear()
         return True
