--- a/pulleyroute/net/http2.py
+++ b/pulleyroute/net/http2.py
@@ -1,10 +1,10 @@
-"""HTTP/2 on a non-blocking socket: h2 frames and keeps the states, one coroutine a connection reads and
-writes.
+"""HTTP/2 connections on non-blocking sockets, in both roles.
 
-Both roles. A stream's owner hears of it through `StreamHandler`; bytes of DATA that an owner was given count
-against the stream's window until `Stream.consumed`, so whoever reads slowly holds back the sender. The
-connection's own window is given back at once: one stalled stream must not stall the others. So a connection
-holds at most its streams' windows.
+h2 parses and builds frames and keeps the protocol states; one coroutine for each connection reads and writes.
+The events of a stream go to its `StreamHandler`. DATA that a handler was given counts against the stream's
+flow-control window until `Stream.consumed`, so that a slow reader slows its sender down. The window of the
+connection is returned at once, since one stalled stream must not stall the others. A connection therefore
+buffers at most the windows of its streams.
 """
 
 from __future__ import annotations
@@ -45,41 +45,47 @@
 _SEND_HEADERS = h2.connection.ConnectionInputs.SEND_HEADERS
 _STREAM_SEND_HEADERS = h2.stream.StreamInputs.SEND_HEADERS
 _STREAM_END = h2.stream.StreamInputs.SEND_END_STREAM
-_NAME = re.compile(rb"[!#-'*+.^-z|~0-9-]+")  # of a header, RFC 9110, 5.6.2, in lower case (RFC 9113, 8.2.1)
+_NAME = re.compile(rb"[!#-'*+.^-z|~0-9-]+")  # of a field, RFC 9110, 5.6.2, in lower case (RFC 9113, 8.2.1)
 _VALUE = re.compile(rb"(?:[^\0\r\n \t](?:[^\0\r\n]*[^\0\r\n \t])?)?")  # no controls, no blanks at the ends
 _REQUEST = frozenset((b":method", b":scheme", b":path", b":authority"))
-_ANSWER, _TRAILERS = frozenset((b":status",)), frozenset[bytes]()
-_ODD = h2.connection.AllowedStreamIDs.ODD  # the client's
+_RESPONSE, _TRAILERS = frozenset((b":status",)), frozenset[bytes]()
+_ODD = h2.connection.AllowedStreamIDs.ODD  # stream identifiers of the client
 _TAKES_DATA = (_State.OPEN, _State.HALF_CLOSED_LOCAL)
 _SENDS_DATA = (_State.OPEN, _State.HALF_CLOSED_REMOTE)
 
-CONNECTION_WINDOW = 2**30  # given back at once, so its size bounds nothing
-WINDOW_BACK = 1 / 2  # of a stream's window, consumed, before it is told
-READS_A_TURN = 4
-OUTBOX_DATA = 64 * 1024  # with more waiting for the kernel no more DATA is framed
-OUTBOX_FULL = 256 * 1024  # and with this much nothing more is read: the peer asks and does not listen
-LAST_ID = 2**31 - 1
+CONNECTION_WINDOW = 2**30  # bytes; returned at once, so it never holds a peer back
+WINDOW_UPDATE_SHARE = 1 / 2  # of a stream's window, consumed before a WINDOW_UPDATE is sent
+READS_PER_WAKEUP = 4
+OUTBOX_DATA_BYTES = 64 * 1024  # no DATA is framed while this much waits for the kernel
+OUTBOX_FULL_BYTES = 256 * 1024  # nothing is read: the peer sends requests but reads no responses
+MAX_STREAM_ID = 2**31 - 1
 HANDSHAKE_TIMEOUT_US = 5_000_000
-STUCK_TIME = 10_000_000  # a peer that takes nothing for so long is gone
-STEP = 500_000  # between the two GOAWAYs of a drain
-LOOKS = 64
-FLOOD_REASON = "too many frames"  # how the reason begins by which a flooding peer's connection ended
+WRITE_TIMEOUT_US = 10_000_000  # a peer that reads nothing for this long is considered gone
+DRAIN_STEP_US = 500_000  # between the two GOAWAYs of a drain
+COUNTS_PER_CLEANUP = 64  # one count of open streams in so many visits every stream, and drops closed ones
+FLOOD_REASON = "too many frames"  # prefix of the reason for which the connection of a flooding peer is closed
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What one connection may take; sizes in bytes, times in microseconds."""
+    """Limits of one connection; sizes in bytes, times in microseconds."""
 
-    streams: int = 1000  # at once, opened by the peer
-    window: int = 65_535  # of a stream: DATA that waits for its owner
+    streams: int = 1000  # open at once that the peer may have opened
+    window: int = 65_535  # of a stream: DATA that its handler has not consumed
     header_bytes: int = 16 * 1024
-    idle: int = 300_000_000  # without a stream, then a connection ends; 0 for never
-    ping_after: int = 20_000_000  # of silence while streams are open, by the client's role; 0 for never
+    idle: int = 300_000_000  # a connection without streams closes after this; 0 for never
+    ping_after: int = 20_000_000  # of silence with open streams, in the client's role; 0 for never
     ping_timeout: int = 10_000_000
 
 
 class StreamHandler(Protocol):
-    """Who a stream belongs to. `aborted` is the last word on it; none comes after both sides ended well."""
+    """Receives the events of one stream.
+
+    `headers`, `data` and `ended` report what the peer sends, and `sent` how many bytes of DATA have been
+    framed. `aborted` is the last event of a stream that fails: `code` is that of the RST_STREAM, if there was
+    one, and `never_ran` is True if the peer has surely not processed the request. No event follows once both
+    sides have ended the stream.
+    """
 
     def headers(self, headers: Headers, ended: bool) -> None: ...
     def data(self, data: bytes) -> None: ...
@@ -89,19 +95,23 @@
 
 
 class GracefulConnection(h2.connection.H2Connection):
-    """h2's connection, with three of its habits changed: trace texts, counting streams one by one, GOAWAY."""
+    """h2's connection with changes for speed and for graceful shutdown.
+
+    It formats no trace messages, counts open streams cheaply, tolerates frames for streams that were reset,
+    and continues after a GOAWAY.
+    """
 
     def __init__(self, config: h2.config.H2Configuration) -> None:
         super().__init__(config=config)
         self.encoder = PlainEncoder()
-        self._looks = 0
+        self._counts = 0
 
     def _receive_frame(self, frame: Frame) -> list[h2.events.Event]:
-        # h2 makes a text of every frame for a trace that nobody reads; and it ends the connection on a frame
-        # for a stream that was reset long ago, where RFC 9113, 5.1 asks for no more than RST_STREAM.
+        # h2 formats a trace message for every frame, which is not used here. It also ends the connection on a
+        # frame for a stream that was reset long ago, where RFC 9113, 5.1 requires no more than RST_STREAM.
         try:
             frames, events = self._frame_dispatch_table[frame.__class__](frame)
-        except h2.exceptions.StreamClosedError as exc:  # StreamIDTooLowError is none: it ends the connection
+        except h2.exceptions.StreamClosedError as exc:  # not a base of StreamIDTooLowError, handled below
             if not self._stream_is_closed_by_reset(exc.stream_id):
                 raise
             reset = RstStreamFrame(exc.stream_id)
@@ -119,15 +129,18 @@
         return list(events)
 
     def _open_streams(self, remainder: int) -> int:
-        # h2 counts by a look at every stream, for every new one. A closed stream may stay for some looks.
-        self._looks += 1
-        if self._looks % LOOKS == 0 or len(self.streams) > self.local_settings.max_concurrent_streams // 2:
+        # h2 visits every stream for each new one, which also drops the closed ones. Here closed streams may
+        # stay for some counts.
+        self._counts += 1
+        if (
+            self._counts % COUNTS_PER_CLEANUP == 0
+            or len(self.streams) > self.local_settings.max_concurrent_streams // 2
+        ):
             return super()._open_streams(remainder)
         return len(self.streams)
 
     def _receive_goaway_frame(self, frame: GoAwayFrame) -> tuple[list[Frame], list[h2.events.Event]]:
-        # Guards streams that go on after a graceful GOAWAY (RFC 9113, 6.8): h2 would take the connection as
-        # over.
+        # Streams continue after a graceful GOAWAY (RFC 9113, 6.8). h2 itself would close the connection.
         event = h2.events.ConnectionTerminated()
         event.error_code = frame.error_code
         event.last_stream_id = frame.last_stream_id
@@ -135,25 +148,25 @@
         return [], [event]
 
 
-class Calm(Exception):
-    """The peer floods this connection."""
+class FloodError(Exception):
+    """The peer exceeds the flood limits of this connection."""
 
 
 class Stream:
-    """One stream. Owns what waits to be sent on it."""
+    """One stream. Owns the data that waits to be sent on it."""
 
     __slots__ = (
-        "_credit",
-        "_fin",
+        "_end_requested",
         "_pending",
-        "_size",
+        "_pending_size",
         "_trailers",
-        "answered",
+        "_unreturned",
         "connection",
+        "handler",
+        "headers_sent",
+        "id",
         "local_closed",
         "remote_closed",
-        "id",
-        "handler",
     )
 
     def __init__(self, connection: Http2Connection, number: int, handler: StreamHandler) -> None:
@@ -161,54 +174,57 @@
         self.id = number
         self.handler = handler
         self._pending: deque[bytes] = deque()
-        self._size = 0
-        self._fin = False
+        self._pending_size = 0
+        self._end_requested = False
         self._trailers: Headers | None = None
-        self._credit = 0  # consumed and not yet told
-        self.answered = False
+        self._unreturned = 0  # bytes consumed since the last WINDOW_UPDATE
+        self.headers_sent = False
         self.local_closed = False
         self.remote_closed = False
 
     @property
     def open(self) -> bool:
+        """Whether the connection still has the stream."""
         return self.connection.has(self)
 
     def send_headers(self, headers: Headers, end: bool = False) -> None:
-        self.connection.head(self, headers, end)
+        """Send a header section, which with `end` also ends this side of the stream."""
+        self.connection.send_headers(self, headers, end)
 
     def write(self, data: bytes) -> None:
-        """Send when the windows allow; `StreamHandler.sent` tells how much has gone."""
-        if data and self.open and not self._fin:
+        """Queue data, to be sent as the windows allow; `StreamHandler.sent` reports the progress."""
+        if data and self.open and not self._end_requested:
             self._pending.append(data)
-            self._size += len(data)
-            self.connection.stir(self)
+            self._pending_size += len(data)
+            self.connection.schedule(self)
 
     def finish(self, trailers: Headers | None = None) -> None:
-        """End this side once all is sent, with trailers if there are any."""
-        if self.open and not self._fin:
-            self._fin, self._trailers = True, trailers
-            self.connection.stir(self)
+        """End this side once all queued data is sent, with trailers if given."""
+        if self.open and not self._end_requested:
+            self._end_requested, self._trailers = True, trailers
+            self.connection.schedule(self)
 
     def consumed(self, count: int) -> None:
-        """The owner has let go of so many bytes."""
-        self._credit += count
-        if self._credit >= self.connection.limits.window * WINDOW_BACK and not self.remote_closed:
-            self.connection.give_back(self, self._credit)
-            self._credit = 0
+        """Report bytes that the handler has consumed, so that the peer may send as many more."""
+        self._unreturned += count
+        if self._unreturned >= self.connection.limits.window * WINDOW_UPDATE_SHARE and not self.remote_closed:
+            self.connection.return_window(self, self._unreturned)
+            self._unreturned = 0
 
     def reset(self, code: Code = Code.CANCEL) -> None:
+        """Discard what is queued and send RST_STREAM."""
         self._pending.clear()
-        self._size = 0
+        self._pending_size = 0
         self.connection.reset(self, code)
 
     def discard_pending(self) -> None:
-        """Drop what waits to be sent; only an ending can follow."""
+        """Discard the queued data; only the end of the stream may follow."""
         self._pending.clear()
-        self._size = 0
+        self._pending_size = 0
 
-    def take(self, most: int) -> bytes:
-        """The next bytes to go, joined: many small messages make one frame."""
-        if self._size <= most:
+    def take_pending(self, most: int) -> bytes:
+        """Return and remove at most this many bytes; many small messages are joined into one frame."""
+        if self._pending_size <= most:
             data = self._pending[0] if len(self._pending) == 1 else b"".join(self._pending)
             self._pending.clear()
         else:
@@ -221,24 +237,29 @@
                 parts.append(part)
                 left -= len(part)
             data = b"".join(parts)
-        self._size -= len(data)
+        self._pending_size -= len(data)
         return data
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes not yet sent."""
-        return self._size
+        """Bytes that are queued and not yet framed."""
+        return self._pending_size
 
     @property
     def closing(self) -> tuple[bool, Headers | None]:
-        return self._fin and not self.local_closed, self._trailers
+        """Whether this side is to end after the queued data, and the trailers."""
+        return self._end_requested and not self.local_closed, self._trailers
 
 
-Opened = Callable[[Stream, Headers, bool], StreamHandler]
+StreamOpened = Callable[[Stream, Headers, bool], StreamHandler]
 
 
 class Http2Connection:
-    """One connection, in either role. Owns its socket, its TLS, its h2 state and its streams."""
+    """One connection, in either role. Owns its socket, its TLS state, its h2 state and its streams.
+
+    `on_stream` is called for each stream that the peer opens and returns its handler. `on_closed` is called
+    once when the connection has ended, with the reason.
+    """
 
     def __init__(
         self,
@@ -248,7 +269,7 @@
         server: bool,
         limits: Limits,
         tls: Tls | None = None,
-        on_stream: Opened | None = None,
+        on_stream: StreamOpened | None = None,
         on_closed: Callable[[Http2Connection, str], None] | None = None,
     ) -> None:
         self._loop, self._pool, self._sock, self._tls = loop, pool, sock, tls
@@ -267,7 +288,7 @@
                 validate_inbound_headers=False,
             )
         )
-        self._merger = FrameMerger(self._h2.max_inbound_frame_size, server, self._count)
+        self._merger = FrameMerger(self._h2.max_inbound_frame_size, server, self._count_frame)
         self._h2.local_settings = h2.settings.Settings(
             client=not server,
             initial_values={
@@ -280,22 +301,22 @@
         )
         self._h2.decoder.max_header_list_size = 4 * limits.header_bytes
         self._streams: dict[int, Stream] = {}
-        self._stirred: dict[Stream, None] = {}  # they have something to send
-        self._starved: dict[Stream, None] = {}  # the windows do not let them
+        self._sendable: dict[Stream, None] = {}  # may have something to send
+        self._blocked: dict[Stream, None] = {}  # blocked by flow control
         self._outbox = bytearray()
-        self._owed = 0  # of the connection's window
-        self._inside = False
+        self._unreturned = 0  # bytes of the connection's window
+        self._in_step = False
         self.closed = False
-        self.ready = False  # the peer's settings have come
-        self.draining = False  # no new stream here, for either side
-        self._last = LAST_ID  # streams above it are refused
-        self._highest = 0  # the peer's newest stream
-        self._ending = False  # leave once all is sent
-        self._heard = loop.now()
-        self._idle_since = self._began = loop.now()
-        self._pinged = 0
-        self._stuck_since = 0
-        self._alarm: Timer | None = None
+        self.ready = False  # the SETTINGS of the peer have arrived
+        self.draining = False  # neither side opens a new stream
+        self._last_accepted = MAX_STREAM_ID  # identifier above which streams are refused
+        self._highest_received = 0  # identifier of the peer's newest stream
+        self._ending = False  # close once all streams have ended and the outbox is empty
+        self._last_read_at = loop.now()
+        self._idle_since = self._started_at = loop.now()
+        self._ping_sent_at = 0
+        self._write_blocked_since = 0
+        self._timer: Timer | None = None
         self.task: Task | None = None
 
     # Streams
@@ -305,24 +326,26 @@
 
     @property
     def streams(self) -> list[Stream]:
+        """The open streams."""
         return list(self._streams.values())
 
     def abandon(self, stream: Stream) -> None:
-        """Say nothing more on a stream: a stand-in's way to have never looked at it."""
+        """Drop a stream without a frame to the peer, as a stand-in does that never processes it."""
         self._drop(stream)
 
     def inject(self, frame: bytes) -> None:
-        """Send a whole frame past h2, where h2 cannot send it or would take the connection as over."""
-        self._absorb()
-        self._give(frame)
-        self._stir()
+        """Send a complete frame past h2, where h2 cannot send it or would close the connection."""
+        self._collect_output()
+        self._enqueue(frame)
+        self._wake()
 
     def has(self, stream: Stream) -> bool:
+        """Whether the connection is open and the stream belongs to it."""
         return not self.closed and self._streams.get(stream.id) is stream
 
     @property
     def has_capacity(self) -> bool:
-        """Whether another stream may be opened from here."""
+        """Whether this side may open another stream."""
         return (
             not self.closed
             and not self.draining
@@ -336,85 +359,89 @@
             raise Broken("no room for a stream")
         try:
             stream = Stream(self, self._h2.get_next_available_stream_id(), handler)
-            # h2 forgets closed streams when it counts the open ones, and only then: guards the memory, where
-            # each call left one behind.
+            # h2 drops closed streams only when it counts the open ones. Without this call, each request would
+            # leave one in memory.
             self._h2._open_streams(1)
             self._h2._get_or_create_stream(stream.id, _ODD)
-            self._send_head(stream.id, headers, end)
+            self._send_header_block(stream.id, headers, end)
         except h2.exceptions.H2Error as exc:
             raise Broken(str(exc)) from None
         self._streams[stream.id] = stream
         stream.local_closed = end
-        self._stir()
+        self._wake()
         return stream
 
-    def head(self, stream: Stream, headers: Headers, end: bool) -> None:
+    def send_headers(self, stream: Stream, headers: Headers, end: bool) -> None:
+        """Send a header section on a stream of this connection."""
         if not self.has(stream):
             return
-        stream.answered = True
+        stream.headers_sent = True
         with contextlib.suppress(h2.exceptions.H2Error):
-            self._send_head(stream.id, headers, end)
+            self._send_header_block(stream.id, headers, end)
         if end:
             stream.local_closed = True
-            self._settle(stream)
-        self._stir()
+            self._drop_if_ended(stream)
+        self._wake()
 
-    def _send_head(self, number: int, headers: Headers, end: bool) -> None:
-        """A head or trailers on a stream that exists; raises H2Error where the states do not allow it.
+    def _send_header_block(self, number: int, headers: Headers, end: bool) -> None:
+        """Send headers or trailers on an existing stream; raises H2Error if its state does not allow it.
 
-        h2's own states are asked and moved; its copies and checks of headers that we have made are left out.
+        This updates the states of h2 but skips its copies and checks of the headers, which are valid already.
         """
-        inner = self._h2.streams.get(number)
-        if inner is None:
+        h2_stream = self._h2.streams.get(number)
+        if h2_stream is None:
             raise h2.exceptions.NoSuchStreamError(number)
         block = self._h2.encoder.encode(headers)
         if len(block) > self._h2.max_outbound_frame_size:
             self._h2.send_headers(number, headers, end)
             return
         self._h2.state_machine.process_input(_SEND_HEADERS)
-        inner.state_machine.process_input(_STREAM_SEND_HEADERS)
+        h2_stream.state_machine.process_input(_STREAM_SEND_HEADERS)
         if end:
-            inner.state_machine.process_input(_STREAM_END)
-        self._absorb()
-        flags = b"\x05" if end else b"\x04"  # END_HEADERS, and END_STREAM
-        self._give(len(block).to_bytes(3, "big") + b"\x01" + flags + number.to_bytes(4, "big") + block)
-
-    def stir(self, stream: Stream) -> None:
-        self._stirred[stream] = None
-        self._stir()
-
-    def _stir(self) -> None:
-        if not self._inside and self.task is not None:
+            h2_stream.state_machine.process_input(_STREAM_END)
+        self._collect_output()
+        flags = b"\x05" if end else b"\x04"  # END_HEADERS, with or without END_STREAM
+        self._enqueue(len(block).to_bytes(3, "big") + b"\x01" + flags + number.to_bytes(4, "big") + block)
+
+    def schedule(self, stream: Stream) -> None:
+        """Note that a stream has something to send, and wake the coroutine."""
+        self._sendable[stream] = None
+        self._wake()
+
+    def _wake(self) -> None:
+        if not self._in_step and self.task is not None:
             self.task.nudge()
 
-    def give_back(self, stream: Stream, count: int) -> None:
+    def return_window(self, stream: Stream, count: int) -> None:
+        """Send a WINDOW_UPDATE for bytes that the handler of a stream has consumed."""
         if self.has(stream):
             with contextlib.suppress(h2.exceptions.H2Error, ValueError, KeyError):
                 self._h2.increment_flow_control_window(count, stream.id)
-            self._stir()
+            self._wake()
 
     def reset(self, stream: Stream, code: Code) -> None:
+        """Drop a stream and send RST_STREAM."""
         if not self.has(stream):
             return
         self._drop(stream)
         with contextlib.suppress(h2.exceptions.H2Error):
             self._h2.reset_stream(stream.id, code)
-        self._stir()
+        self._wake()
 
     def _drop(self, stream: Stream) -> None:
-        # Guards the memory: whoever still knows the stream would keep what waited to be sent on it.
+        # Other objects may still refer to the stream, and would keep its queued data in memory.
         stream.discard_pending()
         self._streams.pop(stream.id, None)
-        self._stirred.pop(stream, None)
-        self._starved.pop(stream, None)
+        self._sendable.pop(stream, None)
+        self._blocked.pop(stream, None)
         if not self._streams:
             self._idle_since = self._loop.now()
 
-    def _settle(self, stream: Stream) -> None:
+    def _drop_if_ended(self, stream: Stream) -> None:
         if stream.local_closed and stream.remote_closed:
             self._drop(stream)
         elif stream.local_closed and self._server:
-            # An answer before the request's end: whole, and the rest is not wanted (RFC 9113, 8.1).
+            # The response ended before the request, whose rest is not needed (RFC 9113, 8.1).
             self._drop(stream)
             with contextlib.suppress(h2.exceptions.H2Error):
                 self._h2.reset_stream(stream.id, Code.NO_ERROR)
@@ -422,31 +449,35 @@
     # Ending
 
     def drain(self) -> None:
-        """GOAWAY in two steps (RFC 9113, 6.8): warn, let arrive what is on its way, name the last stream."""
+        """Shut down gracefully, with two GOAWAY frames (RFC 9113, 6.8).
+
+        The first announces the shutdown; the second, `DRAIN_STEP_US` later, names the last stream, so that
+        requests in transit are still accepted.
+        """
         if self.draining or self.closed:
             return
         self.draining = True
-        self._goaway(LAST_ID, Code.NO_ERROR)
-        self._loop.call_at(self._loop.now() + STEP, self._name_last)
-        self._stir()
+        self._send_goaway(MAX_STREAM_ID, Code.NO_ERROR)
+        self._loop.call_at(self._loop.now() + DRAIN_STEP_US, self._send_final_goaway)
+        self._wake()
 
-    def _name_last(self) -> None:
+    def _send_final_goaway(self) -> None:
         if not self.closed:
-            self._last = self._highest
-            self._goaway(self._last, Code.NO_ERROR)
-            self._stir()
+            self._last_accepted = self._highest_received
+            self._send_goaway(self._last_accepted, Code.NO_ERROR)
+            self._wake()
 
-    def _goaway(self, last: int, code: Code, text: bytes = b"") -> None:
-        # Written past h2, which would take no frame of any stream from here on.
+    def _send_goaway(self, last: int, code: Code, text: bytes = b"") -> None:
+        # Sent past h2, which would accept no frame of any stream after it.
         self.inject(GoAwayFrame(0, last_stream_id=last, error_code=code, additional_data=text).serialize())
 
     def close(self, why: str = "closed", code: Code = Code.NO_ERROR) -> None:
-        """End it now: say goodbye as far as that goes without waiting, and tell every stream's owner."""
+        """Close at once: send GOAWAY if the socket takes it, and abort every stream."""
         if self.closed:
             return
-        self._goaway(self._highest if self._server else 0, code, why.encode() if code else b"")
+        self._send_goaway(self._highest_received if self._server else 0, code, why.encode() if code else b"")
         with contextlib.suppress(OSError, Broken):
-            self._pump()  # endings that are framed but not yet written go first
+            self._frame_pending()  # ends of streams that are queued or framed go first
             self._write()
         self._end(why)
 
@@ -455,10 +486,10 @@
             return
         self.closed = True
         streams, self._streams = list(self._streams.values()), {}
-        self._stirred.clear()
-        self._starved.clear()
-        if self._alarm is not None:
-            self._alarm.cancel()
+        self._sendable.clear()
+        self._blocked.clear()
+        if self._timer is not None:
+            self._timer.cancel()
         self._loop.forget(self._sock.fileno())
         self._sock.close()
         for stream in streams:
@@ -466,16 +497,17 @@
             stream.handler.aborted(None, False, why)
         if self._on_closed is not None:
             self._on_closed(self, why)
-        if self.task is not None and not self._inside:
+        if self.task is not None and not self._in_step:
             self.task.cancel()
 
     # The coroutine
 
     def start(self) -> None:
-        self.task = Task(self._loop, self._running(), "http2 connection")
+        """Start the coroutine that reads and writes."""
+        self.task = Task(self._loop, self._run(), "http2 connection")
         self.task.start()
 
-    def _running(self) -> Coroutine[None]:
+    def _run(self) -> Coroutine[None]:
         why = "closed"
         woken = Woken.READY
         fd = self._sock.fileno()
@@ -486,93 +518,102 @@
             self._h2.initiate_connection()
             self._h2.increment_flow_control_window(CONNECTION_WINDOW)
             while True:
-                self._inside = True
-                if woken is not Woken.NUDGED:  # whoever nudges has something to send
+                self._in_step = True
+                if woken is not Woken.NUDGED:  # a nudge means that there is something to send
                     self._read()
-                self._pump()
+                self._frame_pending()
                 self._write()
-                self._inside = False
+                self._in_step = False
                 now = self._loop.now()
                 if self.closed:
                     return
-                if not self.ready and now - self._began >= HANDSHAKE_TIMEOUT_US:
-                    raise Broken("no settings in time")
-                if self._outbox and self._stuck_since and now - self._stuck_since >= STUCK_TIME:
-                    raise Broken("the peer takes nothing")
+                if not self.ready and now - self._started_at >= HANDSHAKE_TIMEOUT_US:
+                    raise Broken("no SETTINGS frame in time")
+                if (
+                    self._outbox
+                    and self._write_blocked_since
+                    and now - self._write_blocked_since >= WRITE_TIMEOUT_US
+                ):
+                    raise Broken("the peer reads nothing")
                 if (
                     not self._streams
                     and not self._outbox
-                    and (self._ending or (self.draining and self._last < LAST_ID))
+                    and (self._ending or (self.draining and self._last_accepted < MAX_STREAM_ID))
                 ):
                     return
                 if not self._streams and self.limits.idle and now - self._idle_since > self.limits.idle:
                     self.close("idle")
                     return
                 if not self._server:
-                    self._ask(now)
-                self._arm(now)
+                    self._check_ping(now)
+                self._set_timer(now)
                 if not self._outbox:
                     woken = yield reading
                 else:
-                    woken = yield writing if len(self._outbox) >= OUTBOX_FULL else both
-        except Calm as exc:
+                    woken = yield writing if len(self._outbox) >= OUTBOX_FULL_BYTES else both
+        except FloodError as exc:
             why = str(exc)
             self.close(why, Code.ENHANCE_YOUR_CALM)
         except h2.exceptions.ProtocolError as exc:
-            why = f"not HTTP/2 as agreed: {exc}"
+            why = f"HTTP/2 protocol error: {exc}"
             with contextlib.suppress(OSError, Broken):
-                self._write()  # h2 has made the GOAWAY that says so
+                self._write()  # h2 has built the GOAWAY with the error code
         except (Broken, OSError) as exc:
             why = str(exc)
         finally:
-            self._inside = True
+            self._in_step = True
             self._end(why)
 
-    def _arm(self, now: int) -> None:
-        """See to it that the coroutine looks again in time. One timer serves many waits: it may come too
-        early."""
-        until = self._until(now)
-        if until is None or (self._alarm is not None and self._alarm.when <= until):
+    def _set_timer(self, now: int) -> None:
+        """Set the timer that wakes the coroutine for its next deadline.
+
+        A timer that is set for an earlier time is kept, so the coroutine may wake too early.
+        """
+        deadline = self._next_deadline(now)
+        if deadline is None or (self._timer is not None and self._timer.when <= deadline):
             return
-        if self._alarm is not None:
-            self._alarm.cancel()
-        self._alarm = self._loop.call_at(until, self._ring)
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = self._loop.call_at(deadline, self._on_timer)
 
-    def _ring(self) -> None:
-        self._alarm = None
+    def _on_timer(self) -> None:
+        self._timer = None
         if self.task is not None:
             self.task.nudge()
 
-    def _until(self, now: int) -> int | None:
-        """When to look again though nothing came."""
+    def _next_deadline(self, now: int) -> int | None:
+        """Return the next deadline of the connection, if there is one."""
         if not self.ready:
-            return self._began + HANDSHAKE_TIMEOUT_US
+            return self._started_at + HANDSHAKE_TIMEOUT_US
         if self._outbox:
-            return (self._stuck_since or now) + STUCK_TIME
+            return (self._write_blocked_since or now) + WRITE_TIMEOUT_US
         if not self._streams:
             return self._idle_since + self.limits.idle + 1000 if self.limits.idle else None
         if not self._server and self.limits.ping_after:
-            if self._pinged:
-                return self._pinged + self.limits.ping_timeout + 1000
-            return max(now, self._heard + self.limits.ping_after) + 1000
+            if self._ping_sent_at:
+                return self._ping_sent_at + self.limits.ping_timeout + 1000
+            return max(now, self._last_read_at + self.limits.ping_after) + 1000
         return None
 
-    def _ask(self, now: int) -> None:
-        """Guards streams against a machine that vanished: TCP does not notice, a PING without answer does."""
+    def _check_ping(self, now: int) -> None:
+        """Send a PING after silence; raises Broken if the last one was not answered in time.
+
+        If the machine of the peer vanishes, TCP alone does not notice, and its streams would never end.
+        """
         if self._server or not self.limits.ping_after or not self._streams:
-            self._pinged = 0
-        elif self._pinged and now - self._pinged > self.limits.ping_timeout:
-            raise Broken("no answer to a ping")
-        elif not self._pinged and now - self._heard > self.limits.ping_after:
-            self._pinged = now
+            self._ping_sent_at = 0
+        elif self._ping_sent_at and now - self._ping_sent_at > self.limits.ping_timeout:
+            raise Broken("no answer to a PING")
+        elif not self._ping_sent_at and now - self._last_read_at > self.limits.ping_after:
+            self._ping_sent_at = now
             self._h2.ping(b"pulleyrt")
             self._write()
 
     # Reading
 
     def _read(self) -> None:
-        for _ in range(READS_A_TURN):
-            if len(self._outbox) >= OUTBOX_FULL or self.closed:
+        for _ in range(READS_PER_WAKEUP):
+            if len(self._outbox) >= OUTBOX_FULL_BYTES or self.closed:
                 return
             with self._pool.borrow() as buffer:
                 try:
@@ -582,36 +623,36 @@
                 if not count:
                     raise Broken("the connection ended")
                 data = bytes(memoryview(buffer)[:count])
-            self._heard, self._pinged = self._loop.now(), 0
+            self._last_read_at, self._ping_sent_at = self._loop.now(), 0
             if self._tls is not None:
                 data = self._tls.receive(data)
             if data:
-                self._take(data)
+                self._receive(data)
             if count < self._pool.size:
                 return
 
-    def _count(self, kind: str) -> None:
+    def _count_frame(self, kind: str) -> None:
         if self._server and not self._flood_limits.take(kind, self._loop.now()):
-            raise Calm(f"{FLOOD_REASON}: {kind}")
+            raise FloodError(f"{FLOOD_REASON}: {kind}")
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         try:
             items = self._merger.feed(data)
         except FrameTooLong:
-            self.close("a frame is longer than was allowed", Code.FRAME_SIZE_ERROR)
+            self.close("a frame is longer than allowed", Code.FRAME_SIZE_ERROR)
             return
         plain = len(data) < self._pool.size // 2
         for item in items:
             if isinstance(item, tuple):
-                number, what = item
-                if isinstance(what, int):
-                    if self._plain_window(number, what):
+                number, content = item
+                if isinstance(content, int):
+                    if self._fast_window_update(number, content):
                         continue
-                elif self._plain_data(number, what):
+                elif self._fast_data(number, content):
                     continue
             plain = False
             if isinstance(item, tuple):
-                item = encode_item(number, what)
+                item = encode_item(number, content)
             for event in self._h2.receive_data(item):
                 handler = _HANDLERS.get(type(event))
                 if handler is not None:
@@ -620,85 +661,89 @@
                     return
         self._loop.wakeup_pacing.note(plain)
 
-    def _plain_data(self, number: int, body: bytes) -> bool:
-        """DATA on a stream that surely may get it, past h2's frames and events; False leaves it to h2.
+    def _fast_data(self, number: int, body: bytes) -> bool:
+        """Handle DATA without h2's frames and events, if it is surely valid; otherwise returns False.
 
-        h2's own windows are kept, so that it judges whatever comes next as if it had seen this.
+        The windows of h2 are updated, so that it checks the next frame as if it had handled this one.
         """
-        stream, inner = self._streams.get(number), self._h2.streams.get(number)
-        if stream is None or inner is None:
+        stream, h2_stream = self._streams.get(number), self._h2.streams.get(number)
+        if stream is None or h2_stream is None:
             return False
-        machine, size = inner.state_machine, len(body)
-        whole, part = self._h2._inbound_flow_control_window_manager, inner._inbound_window_manager
+        state_machine, size = h2_stream.state_machine, len(body)
+        connection_window, stream_window = (
+            self._h2._inbound_flow_control_window_manager,
+            h2_stream._inbound_window_manager,
+        )
         if (
-            machine.state not in _TAKES_DATA
-            or not machine.headers_received
-            or machine.trailers_received
-            or inner._expected_content_length is not None
-            or size > whole.current_window_size
-            or size > part.current_window_size
+            state_machine.state not in _TAKES_DATA
+            or not state_machine.headers_received
+            or state_machine.trailers_received
+            or h2_stream._expected_content_length is not None
+            or size > connection_window.current_window_size
+            or size > stream_window.current_window_size
         ):
             return False
-        whole.window_consumed(size)
-        part.window_consumed(size)
-        self._owe(size)
+        connection_window.window_consumed(size)
+        stream_window.window_consumed(size)
+        self._return_connection_window(size)
         stream.handler.data(body)
         return True
 
-    def _plain_window(self, number: int, increment: int) -> bool:
-        """A window that surely may grow by so much; False leaves it to h2."""
+    def _fast_window_update(self, number: int, increment: int) -> bool:
+        """Handle a WINDOW_UPDATE without h2 if it is surely valid; otherwise returns False."""
         if number == 0:
             if self._h2.outbound_flow_control_window + increment > MAX_WINDOW_INCREMENT:
                 return False
             self._h2.outbound_flow_control_window += increment
-            self._feed()
+            self._unblock_streams()
             return True
-        stream, inner = self._streams.get(number), self._h2.streams.get(number)
+        stream, h2_stream = self._streams.get(number), self._h2.streams.get(number)
         if (
             stream is None
-            or inner is None
-            or inner.state_machine.state not in _SENDS_DATA
-            or (inner.outbound_flow_control_window + increment > MAX_WINDOW_INCREMENT)
+            or h2_stream is None
+            or h2_stream.state_machine.state not in _SENDS_DATA
+            or (h2_stream.outbound_flow_control_window + increment > MAX_WINDOW_INCREMENT)
         ):
             return False
-        inner.outbound_flow_control_window += increment
-        if stream in self._starved:
-            del self._starved[stream]
-            self._stirred[stream] = None
+        h2_stream.outbound_flow_control_window += increment
+        if stream in self._blocked:
+            del self._blocked[stream]
+            self._sendable[stream] = None
         return True
 
-    def _owe(self, count: int) -> None:
-        """Give the connection's window back at once, a piece at a time."""
-        self._owed += count
-        if self._owed > CONNECTION_WINDOW // 1024:
-            self._h2.increment_flow_control_window(self._owed)
-            self._owed = 0
+    def _return_connection_window(self, count: int) -> None:
+        """Return bytes of the connection's window, with one WINDOW_UPDATE for each 1/1024 of it."""
+        self._unreturned += count
+        if self._unreturned > CONNECTION_WINDOW // 1024:
+            self._h2.increment_flow_control_window(self._unreturned)
+            self._unreturned = 0
 
     def _on_request(self, event: h2.events.RequestReceived) -> None:
         number = event.stream_id
-        if not sound(event.headers, _REQUEST):
+        if not valid_headers(event.headers, _REQUEST):
             with contextlib.suppress(h2.exceptions.H2Error):
                 self._h2.reset_stream(number, Code.PROTOCOL_ERROR)
             return
-        if number > self._last or self._on_stream is None:
-            # Guards a stream that crossed our GOAWAY: refused, so its sender knows that it never ran.
+        if number > self._last_accepted or self._on_stream is None:
+            # The stream was opened before our GOAWAY arrived. REFUSED_STREAM tells the peer that it was not
+            # processed and may be retried (RFC 9113, 8.7).
             with contextlib.suppress(h2.exceptions.H2Error):
                 self._h2.reset_stream(number, Code.REFUSED_STREAM)
             return
-        self._highest = max(self._highest, number)
-        stream = Stream(self, number, _NOBODY)
+        self._highest_received = max(self._highest_received, number)
+        stream = Stream(self, number, _UNASSIGNED)
         stream.remote_closed = event.stream_ended is not None
         self._streams[number] = stream
         stream.handler = self._on_stream(stream, event.headers, stream.remote_closed)
 
     def _on_response(self, event: h2.events.ResponseReceived) -> None:
         stream = self._streams.get(event.stream_id)
-        if stream is not None and self._sound(stream, event.headers, _ANSWER):
+        if stream is not None and self._check_headers(stream, event.headers, _RESPONSE):
             stream.handler.headers(event.headers, event.stream_ended is not None)
 
     def _on_data(self, event: h2.events.DataReceived) -> None:
         length = event.flow_controlled_length or 0
-        self._owe(length)
+        self._return_connection_window(length)
         stream = self._streams.get(event.stream_id)
         if stream is None:
             return
@@ -710,32 +755,32 @@
 
     def _on_trailers(self, event: h2.events.TrailersReceived) -> None:
         stream = self._streams.get(event.stream_id)
-        if stream is not None and self._sound(stream, event.headers, _TRAILERS):
-            self._over(event.stream_id, event.headers)
+        if stream is not None and self._check_headers(stream, event.headers, _TRAILERS):
+            self._on_remote_end(event.stream_id, event.headers)
 
-    def _sound(self, stream: Stream, headers: Headers, pseudo: frozenset[bytes]) -> bool:
-        """Whether a head may be passed on; if not, its stream ends."""
-        if sound(headers, pseudo):
+    def _check_headers(self, stream: Stream, headers: Headers, pseudo: frozenset[bytes]) -> bool:
+        """Whether a header section is valid; if not, the stream is reset."""
+        if valid_headers(headers, pseudo):
             return True
         self.reset(stream, Code.PROTOCOL_ERROR)
-        stream.handler.aborted(int(Code.PROTOCOL_ERROR), False, "a header out of form")
+        stream.handler.aborted(int(Code.PROTOCOL_ERROR), False, "malformed header section")
         return False
 
     def _on_ended(self, event: h2.events.StreamEnded) -> None:
-        self._over(event.stream_id, [])
+        self._on_remote_end(event.stream_id, [])
 
-    def _over(self, number: int, trailers: Headers) -> None:
+    def _on_remote_end(self, number: int, trailers: Headers) -> None:
         stream = self._streams.get(number)
         if stream is not None and (trailers or not stream.remote_closed):
             stream.remote_closed = True
             stream.handler.ended(trailers)
-            self._settle(stream)
+            self._drop_if_ended(stream)
 
     def _on_reset(self, event: h2.events.StreamReset) -> None:
         stream = self._streams.get(event.stream_id)
         if stream is not None:
-            if not stream.answered:
-                self._count("reset")
+            if not stream.headers_sent:
+                self._count_frame("reset")
             self._drop(stream)
             code = int(event.error_code)
             stream.handler.aborted(code, code == Code.REFUSED_STREAM, f"reset with code {code}")
@@ -743,19 +788,19 @@
     def _on_window(self, event: h2.events.WindowUpdated) -> None:
         if event.stream_id:
             stream = self._streams.get(event.stream_id)
-            if stream is not None and stream in self._starved:
-                del self._starved[stream]
-                self._stirred[stream] = None
+            if stream is not None and stream in self._blocked:
+                del self._blocked[stream]
+                self._sendable[stream] = None
         else:
-            self._feed()
+            self._unblock_streams()
 
-    def _feed(self) -> None:
-        self._stirred.update(self._starved)
-        self._starved.clear()
+    def _unblock_streams(self) -> None:
+        self._sendable.update(self._blocked)
+        self._blocked.clear()
 
     def _on_settings(self, event: h2.events.RemoteSettingsChanged) -> None:
         self.ready = True
-        self._feed()
+        self._unblock_streams()
         if self.on_ready is not None:
             self.on_ready()
 
@@ -768,100 +813,100 @@
             self._ending = True
             return
         for stream in [s for s in self._streams.values() if s.id > last]:
-            self._drop(stream)  # above the last id: the peer says that it never saw it
-            stream.handler.aborted(None, True, "above the last stream of a GOAWAY")
+            self._drop(stream)  # above the last identifier: the peer has not processed it
+            stream.handler.aborted(None, True, "above the last stream identifier of a GOAWAY")
         self._ending = True
 
     # Writing
 
-    def _pump(self) -> None:
-        """Frame what the windows and the outbox let go."""
-        self._absorb()
-        while self._stirred and len(self._outbox) < OUTBOX_DATA and not self.closed:
-            stream = next(iter(self._stirred))
-            del self._stirred[stream]
+    def _frame_pending(self) -> None:
+        """Frame queued data as far as the windows and the outbox have room."""
+        self._collect_output()
+        while self._sendable and len(self._outbox) < OUTBOX_DATA_BYTES and not self.closed:
+            stream = next(iter(self._sendable))
+            del self._sendable[stream]
             if self._streams.get(stream.id) is not stream or stream.local_closed:
                 continue
             try:
-                self._advance(stream)
+                self._send_pending(stream)
             except h2.exceptions.H2Error:
                 self._drop(stream)
                 stream.handler.aborted(None, False, "the stream was closed")
-            self._absorb()
+            self._collect_output()
 
-    def _advance(self, stream: Stream) -> None:
+    def _send_pending(self, stream: Stream) -> None:
         closing, trailers = stream.closing
         if stream.pending_bytes:
-            inner = self._h2.streams.get(stream.id)
-            if inner is None:
+            h2_stream = self._h2.streams.get(stream.id)
+            if h2_stream is None:
                 raise h2.exceptions.NoSuchStreamError(stream.id)
             most = min(
                 self._h2.outbound_flow_control_window,
-                inner.outbound_flow_control_window,
+                h2_stream.outbound_flow_control_window,
                 self._h2.max_outbound_frame_size,
             )
             if most <= 0:
-                self._starved[stream] = None
+                self._blocked[stream] = None
                 return
-            data = stream.take(most)
+            data = stream.take_pending(most)
             end = closing and not stream.pending_bytes and trailers is None
-            if end or inner.state_machine.state not in _SENDS_DATA:
+            if end or h2_stream.state_machine.state not in _SENDS_DATA:
                 self._h2.send_data(stream.id, data, end)
             else:
-                # What h2 would do for a frame that ends nothing, without its objects; its windows are kept.
+                # As h2 does for a frame without END_STREAM, but without its objects. Its windows are updated.
                 self._h2.outbound_flow_control_window -= len(data)
-                inner.outbound_flow_control_window -= len(data)
-                self._absorb()
-                self._give(data_frame(stream.id, data))
+                h2_stream.outbound_flow_control_window -= len(data)
+                self._collect_output()
+                self._enqueue(data_frame(stream.id, data))
             if end:
                 stream.local_closed = True
             elif stream.pending_bytes or closing:
-                self._stirred[stream] = None  # behind the others: none holds the line
+                self._sendable[stream] = None  # at the end of the queue, so that all streams get their turn
             stream.handler.sent(len(data))
         elif closing:
             if trailers is not None:
-                self._send_head(stream.id, trailers, True)
+                self._send_header_block(stream.id, trailers, True)
             else:
                 self._h2.end_stream(stream.id)
             stream.local_closed = True
         if stream.local_closed:
-            self._settle(stream)
+            self._drop_if_ended(stream)
 
-    def _absorb(self) -> None:
+    def _collect_output(self) -> None:
         if self._h2._data_to_send:
-            self._give(self._h2.data_to_send())
+            self._enqueue(self._h2.data_to_send())
 
-    def _give(self, data: bytes) -> None:
+    def _enqueue(self, data: bytes) -> None:
         if self._tls is not None:
             self._tls.send(data)
             data = self._tls.take()
         self._outbox += data
 
     def _write(self) -> None:
-        """Hand to the kernel what it takes."""
+        """Write as much as the kernel accepts."""
         while True:
-            self._absorb()
+            self._collect_output()
             if self._tls is not None:
                 self._outbox += self._tls.take()
             if not self._outbox:
-                self._stuck_since = 0
+                self._write_blocked_since = 0
                 return
             try:
                 count = self._sock.send(self._outbox)
             except (BlockingIOError, InterruptedError):
-                self._stuck_since = self._stuck_since or self._loop.now()
+                self._write_blocked_since = self._write_blocked_since or self._loop.now()
                 return
             del self._outbox[:count]
-            self._stuck_since = 0
-            if not self._outbox and self._stirred:
-                self._pump()
+            self._write_blocked_since = 0
+            if not self._outbox and self._sendable:
+                self._frame_pending()
 
 
-def sound(headers: Headers, pseudo: frozenset[bytes]) -> bool:
-    """Whether a head is in form: RFC 9113, 8.2.1 and 8.3, in one pass.
+def valid_headers(headers: Headers, pseudo: frozenset[bytes]) -> bool:
+    """Whether a header section is valid by RFC 9113, 8.2.1 and 8.3.
 
-    Guards the next hop against names and values that would mean something else there: controls, upper case,
-    pseudo headers that are unknown, come twice or come late.
+    The next hop could read malformed fields in another way: control characters, upper case, and pseudo-header
+    fields that are unknown, repeated or placed after a regular field.
     """
     seen: set[bytes] = set()
     regular = False
@@ -879,8 +924,8 @@
     return True
 
 
-class _Nobody:
-    """Owns a stream until its owner is known."""
+class _UnassignedHandler:
+    """The handler of a stream until `on_stream` has returned the real one."""
 
     def headers(self, headers: Headers, ended: bool) -> None: ...
     def data(self, data: bytes) -> None: ...
@@ -889,7 +934,7 @@
     def aborted(self, code: int | None, never_ran: bool, why: str) -> None: ...
 
 
-_NOBODY = _Nobody()
+_UNASSIGNED = _UnassignedHandler()
 _HANDLERS: dict[type, Callable[[Http2Connection, Any], None]] = {
     h2.events.RequestReceived: Http2Connection._on_request,
     h2.events.ResponseReceived: Http2Connection._on_response,
--- a/tests/grpc/test_calls.py
+++ b/tests/grpc/test_calls.py
@@ -514,7 +514,7 @@
 
 def test_h2_keeps_no_streams_that_are_closed(monkeypatch):
     """Found by 24,000 unary calls that left 30 MiB behind: ours is the side that opened them."""
-    monkeypatch.setattr(http2, "LOOKS", 4)
+    monkeypatch.setattr(http2, "COUNTS_PER_CLEANUP", 4)
     scene = Scene()
     client = scene.client()
     for _ in range(30):
