--- a/pulleyroute/__main__.py
+++ b/pulleyroute/__main__.py
@@ -1,6 +1,6 @@
-"""The real dispatcher: reads its configuration, sets up the parts, serves until SIGTERM.
+"""The main program of the dispatcher: reads the configuration, builds the parts, and serves until SIGTERM.
 
-SIGHUP reads the configuration again.
+SIGHUP reloads the configuration.
 """
 
 from __future__ import annotations
@@ -31,27 +31,26 @@
 from pulleyroute.net.metrics import Gauges, Metrics
 from pulleyroute.net.process import catch_signals, descriptors, heeding, on_error
 
-# How the descriptors are shared out. What is left is for discovery, the listener and the process itself.
-RESERVED_DESCRIPTORS = 24
-CLIENT_SHARE = 0.7  # accepted connections: clients and the instances' calls
-JOB_SHARE = 0.45  # of all: clients that wait for an answer
-INSTANCE_SHARE = 0.3
-# Of the memory, what the program takes by itself; of the rest this share may be requests as they were read,
-# since a byte of them is held up to three times over while it is parsed and sent on.
-PROGRAM_MEMORY_MB = 22
+RESERVED_DESCRIPTORS = 24  # for discovery, the listener and the process itself
+# Shares of all other descriptors.
+CLIENT_SHARE = 0.7  # accepted connections: clients and call-backs from instances
+JOB_SHARE = 0.45  # clients that wait for a response, among the accepted connections
+INSTANCE_SHARE = 0.3  # connections to instances
+PROGRAM_MEMORY_MB = 22  # of the process without any requests
+# Of the remaining memory. Each byte of a request is held up to three times while it is parsed and forwarded.
 REQUEST_MEMORY_SHARE = 1 / 3
 MEGABYTE = 1024 * 1024
-MIN_DESCRIPTORS = 32  # descriptors that a process may use, whatever another one still holds
+MIN_DESCRIPTORS = 32  # that a process may use, however many another process still holds
 
 
 def request_memory_bytes(config: Config, processes: int = 1) -> int:
-    """How many bytes of requests may be held, where so many processes are one dispatcher."""
+    """Return how many bytes of requests a dispatcher of this many processes may hold."""
     return int(max(1, (config.memory_mb - PROGRAM_MEMORY_MB * processes) * REQUEST_MEMORY_SHARE) * MEGABYTE)
 
 
 @dataclass(slots=True)
 class Parts:
-    """A dispatcher's parts that a signal concerns, and what each of them may hold."""
+    """The parts of a dispatcher that a reload or the admin listener changes, and the limits of each."""
 
     config: Config
     ledger: Ledger
@@ -67,59 +66,59 @@
 
     @property
     def phase(self) -> Phase:
-        """What it is doing for its clients."""
+        """The phase of the lifecycle."""
         return self.clients.lifecycle.phase
 
     def classes(self) -> list[str]:
-        """The names of the classes in force."""
+        """Return the names of the current classes."""
         return [cls.name for cls in self.clients.settings.classes]
 
     def gauges(self) -> Gauges:
-        """What is so at the moment."""
+        """Return the current values of the gauges."""
         return Gauges(self.host.open, self.discovery.size, self.host.avoided)
 
     def standby(self) -> None:
-        """Drain, and stay."""
+        """Drain the clients and keep running."""
         self.clients.standby()
 
     def active(self) -> None:
-        """Back to work."""
+        """End the standby."""
         self.clients.active()
 
-    # What is in force
+    # Settings and limits
 
     def adopt(self, settings: Settings) -> Settings:
-        """Other settings, in all the parts at once: as they are in force."""
+        """Apply settings to all parts; returns the settings as applied."""
         settings = self.discovery.adopt(settings)
         for part in (self.instances, self.host, self.clients):
             part.adopt(settings)
         return settings
 
     def usage(self) -> tuple[int, int]:
-        """Descriptors and bytes that this process holds."""
+        """Return the descriptors and the bytes that this process holds."""
         return reserved_descriptors(self.config) + self.clients.count + self.instances.count, self.ledger.held
 
     def set_peer_usage(self, usage: tuple[int, int] | None) -> None:
-        """Another process of this dispatcher holds so much: all that both hold is within one limit."""
+        """Set what another process of this dispatcher holds: one limit applies to both together."""
         self.peer_usage = usage
         self.apply_limits()
 
     def apply_limits(self) -> None:
-        """Put the limits of the configuration in force."""
+        """Apply the limits of the configuration, less what another process holds."""
         budget, held, processes = descriptor_budget(self.config), 0, 1
         if self.peer_usage is not None:
-            theirs, held = self.peer_usage
-            budget, processes = max(MIN_DESCRIPTORS, budget - theirs), 2
+            peer_descriptors, held = self.peer_usage
+            budget, processes = max(MIN_DESCRIPTORS, budget - peer_descriptors), 2
         self.instances.allow(int(budget * INSTANCE_SHARE))
         self.clients.allow(int(budget * CLIENT_SHARE), int(budget * JOB_SHARE))
         self.ledger.most = max(MEGABYTE, request_memory_bytes(self.config, processes) - held)
 
 
 def build(config: Config, loop: Loop, listener: socket.socket | None = None) -> Parts:
-    """The parts of a dispatcher, wired and listening.
+    """Build the parts of a dispatcher and open its listeners; raises ConfigError.
 
-    With a listener from outside there may be another process that serves there: clients are taken once that
-    has handed over, or does not answer.
+    If `listener` was inherited, another process may still serve on it. Clients are then accepted once that
+    process has handed over, or does not answer.
     """
     pool, ledger = BufferPool(), Ledger(request_memory_bytes(config))
     epoch = time.time_ns() // 1000 - loop.now()
@@ -148,20 +147,21 @@
     parts = Parts(config, ledger, discovery, instances, clients, host, metrics)
     discovery.begin()
     if listener is None:
-        # Open from the start, for `/-/ready` and call-backs; clients are wanted once the list may be used.
+        # The listener opens at once, for `/-/ready` and call-backs. Clients are accepted once the list of
+        # instances may be used.
         open_listener(config.listen, clients.listener.listen)
         discovery.freshness.when_usable(clients.lifecycle.serve)
     if config.management is not None:
         open_listener(config.management, Management(loop, pool, verbs(parts)).listen)
     if listener is not None:
-        meeting = handover_socket_path(os.environ.get("TMPDIR") or "/tmp", listener)
-        handover = Handover(loop, meeting, clients, host, discovery, parts)
+        handover_path = handover_socket_path(os.environ.get("TMPDIR") or "/tmp", listener)
+        handover = Handover(loop, handover_path, clients, host, discovery, parts)
         loop.spawn(handover.take_over(listener), "hand-over start")
     return parts
 
 
 def open_listener(address: tuple[str, int], listen: Callable[[tuple[str, int]], None]) -> None:
-    """Open a listener; raises ConfigError where its address can't be had."""
+    """Open a listener; raises ConfigError if its address is not available."""
     try:
         listen(address)
     except OSError as exc:
@@ -169,25 +169,25 @@
 
 
 def reserved_descriptors(config: Config) -> int:
-    """How many descriptors are for the process itself and the admin listener."""
+    """Return how many descriptors the process itself and the admin listener need."""
     return RESERVED_DESCRIPTORS + (DESCRIPTORS if config.management is not None else 0)
 
 
 def descriptor_budget(config: Config) -> int:
-    """How many descriptors are for clients and instances."""
+    """Return how many descriptors there are for clients and instances."""
     return descriptors(config.sockets) - reserved_descriptors(config)
 
 
 def reload(parts: Parts) -> None:
-    """SIGHUP: move to what the file says now, all of it between two events, or stay as it was.
+    """Reload the configuration on SIGHUP: apply all of it between two events, or nothing if it is invalid.
 
-    Jobs, connections and the listed instances stay; an open job keeps the class it was taken under.
+    Jobs, connections and the listed instances stay; an open job keeps the class that it was accepted with.
     """
     try:
         config = load_config(os.environ, parts.config)
     except ConfigError as exc:
         parts.metrics.conf_invalid += 1
-        # Guards the service against a file that can't be used: what is in force goes on.
+        # An invalid file must not stop the service: the previous configuration stays.
         logger.bind(event="config.refused").error("configuration not read again: {}", exc)
         return
     old = parts.config
@@ -210,13 +210,14 @@
 
 
 def main() -> int:
+    """Run the dispatcher; returns the exit status."""
     log.set_up(os.environ.get("PULLEYROUTE_LOG", "INFO"))
     source, sink = catch_signals()
     loop = Loop(on_error)
     try:
         config = load_config(os.environ)
-        given = os.environ.get("PROXY_FD")
-        parts = build(config, loop, inherited_listener(given) if given else None)
+        inherited = os.environ.get("PROXY_FD")
+        parts = build(config, loop, inherited_listener(inherited) if inherited else None)
     except (ConfigError, ValueError) as exc:
         print(f"pulleyroute: {exc}", file=sys.stderr)
         return 2
