--- a/pulleyroute/__main__.py
+++ b/pulleyroute/__main__.py
@@ -147,7 +147,7 @@
     parts = Parts(config, ledger, discovery, instances, clients, host, metrics)
     discovery.begin()
     if listener is None:
-        # The listener opens at once, for `/-/ready` and call-backs. Clients are accepted once the list of
+        # The listener opens at once, for `/-/ready` and call-backs. The process is ready once the list of
         # instances may be used.
         open_listener(config.listen, clients.listener.listen)
         discovery.freshness.when_usable(clients.lifecycle.serve)
