--- a/pulleyroute/net/json_lines.py
+++ b/pulleyroute/net/json_lines.py
@@ -22,7 +22,7 @@
         self._depth = 0
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Yield the objects and empty lines that `data` completes; raises ConnectionFailed for a long object."""
+        """Yield what `data` completes: objects and empty lines. Raises ConnectionFailed if one is too long."""
         self._partial_line += data  # in place: otherwise a long line would be copied with each part of it
         lines: list[bytes] = []
         if b"\n" in data:
--- a/pulleyroute/net/management.py
+++ b/pulleyroute/net/management.py
@@ -16,7 +16,7 @@
 from pulleyroute.net.metrics import Gauges, Metrics
 
 MAX_CONNECTIONS = 24
-RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 2  # for the listener, and for one connection that waits for room
+ADMIN_DESCRIPTORS = MAX_CONNECTIONS + 2  # for the listener, and for one connection that waits for room
 # Times are in microseconds.
 REQUEST_TIMEOUT = 2_000_000  # from the connection to the complete request
 SHED_MIN_AGE = 150_000  # a younger connection is not shed, as its request may still be on the way
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -27,10 +27,10 @@
 from pulleyroute.net.instance import Instances
 from pulleyroute.net.lifecycle import Lifecycle, Phase
 from pulleyroute.net.loop import Loop
-from pulleyroute.net.management import RESERVED_DESCRIPTORS, AdminListener, admin_routes
+from pulleyroute.net.management import ADMIN_DESCRIPTORS, AdminListener, admin_routes
 from pulleyroute.net.metrics import Gauges, JobOutcome, Metrics
 from pulleyroute.net.process import ensure_descriptors
-from pulleyroute.net.tls import Files, client_context, server_context
+from pulleyroute.net.tls import CertificateFiles, client_context, server_context
 from pulleyroute.service.changes import Plan, plan
 from pulleyroute.service.withheld import FleetHost, Withheld
 
@@ -82,7 +82,7 @@
         self._budget = (
             ensure_descriptors(sockets)
             - RESERVE
-            - (RESERVED_DESCRIPTORS if config.management is not None else 0)
+            - (ADMIN_DESCRIPTORS if config.management is not None else 0)
         )
         self.metrics = Metrics()
         self._lifecycle = Lifecycle()
@@ -242,7 +242,7 @@
             for name, listener in config.listener.items():
                 if listener.tls is not None:
                     tls = listener.tls
-                    server[name] = server_context(Files(tls.certificate, tls.key, tls.clients))
+                    server[name] = server_context(CertificateFiles(tls.certificate, tls.key, tls.clients))
             for name, pool in config.pool.items():
                 if pool.tls is not None:
                     client[name] = client_context(pool.tls.ca)
@@ -263,7 +263,7 @@
         back: Calls | Instances
         if pool.protocol == "grpc":
             limits = Limits(
-                window=pool.window, ping_after=pool.ping_after, ping_patience=pool.ping_patience, idle=0
+                window=pool.window, ping_after=pool.ping_after, ping_timeout=pool.ping_patience, idle=0
             )
             back = Calls(
                 self._loop,
--- a/tests/net/test_http2_frames.py
+++ b/tests/net/test_http2_frames.py
@@ -1,4 +1,4 @@
-"""What is taken past h2 beside h2 itself: the same bytes, windows and events, however the frames are cut."""
+"""Merged frames give h2 the same bytes, windows and events as the original ones, however they are split."""
 
 import h2.config
 import h2.connection
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from pulleyroute.net.header_encoding import MAX_CACHED_HEADERS, StatelessEncoder
-from pulleyroute.net.http2_frames import Merger, TooLong, data_frame, frame_of
+from pulleyroute.net.http2_frames import FrameMerger, FrameTooLong, data_frame, encode_item
 from pulleyroute.net.wakeup_pacing import BURST_GAP_US, BURST_WAKEUPS, WakeupPacing
 
 OPEN = [(":method", "POST"), (":scheme", "http"), (":path", "/a.B/C"), (":authority", "x")]
@@ -25,15 +25,16 @@
 )
 
 
-def side(client):
+def connect_h2(client):
+    """Return an h2 connection in the given role that has sent its preface and settings."""
     connection = h2.connection.H2Connection(h2.config.H2Configuration(client_side=client))
     connection.initiate_connection()
     return connection
 
 
-def spoken(steps):
-    """What a client says on the wire for these steps; what the states do not allow is left out."""
-    client, ids = side(True), []
+def client_bytes(steps):
+    """Return the bytes that a client sends for these steps, without those that its states do not allow."""
+    client, ids = connect_h2(True), []
     for step, which, size in [("open", 0, 0), *steps]:
         if step == "open":
             ids.append(client.get_next_available_stream_id())
@@ -59,13 +60,13 @@
                 client.send_headers(stream, [("x", "y")], end_stream=True)
             else:
                 client.ping(b"12345678")
-        except (h2.exceptions.ProtocolError, KeyError):  # h2 has forgotten the stream
+        except (h2.exceptions.ProtocolError, KeyError):  # KeyError: h2 has dropped the state of the stream
             continue
     return client.data_to_send()
 
 
-def heard(events):
-    """Data by stream, and all other events in their order (windows by their sums)."""
+def summarize(events):
+    """Return the data by stream, the other events in order, and the window increments summed by stream."""
     data, rest, windows = {}, [], {}
     for event in events:
         if isinstance(event, h2.events.DataReceived):
@@ -78,26 +79,28 @@
 
 
 @given(STEPS, st.lists(st.integers(1, 3000), min_size=1, max_size=8))
-def test_h2_hears_the_same_through_the_merger_however_it_is_cut(steps, cuts):
-    wire = spoken(steps)
-    plain = side(False)
-    expected = heard(plain.receive_data(wire))
-    merged, merger, events = side(False), Merger(16_384, True, lambda kind: None), []
+def test_h2_sees_the_same_through_the_merger_however_the_bytes_are_split(steps, cuts):
+    wire = client_bytes(steps)
+    plain = connect_h2(False)
+    expected = summarize(plain.receive_data(wire))
+    merged, merger, events = connect_h2(False), FrameMerger(16_384, True, lambda kind: None), []
     at = i = 0
     while at < len(wire):
         size = cuts[i % len(cuts)]
         for item in merger.feed(wire[at : at + size]):
-            events += merged.receive_data(frame_of(*item) if isinstance(item, tuple) else item)
+            events += merged.receive_data(encode_item(*item) if isinstance(item, tuple) else item)
         at, i = at + size, i + 1
-    assert heard(events) == expected
+    assert summarize(events) == expected
     assert merged.outbound_flow_control_window == plain.outbound_flow_control_window
     assert merged.inbound_flow_control_window == plain.inbound_flow_control_window
 
 
 def test_many_small_frames_become_few():
     counted = []
-    merger = Merger(16_384, False, counted.append)
-    wire = b"".join(data_frame(1, b"x" * 10) + frame_of(1, 5) + data_frame(3, b"y" * 20) for _ in range(100))
+    merger = FrameMerger(16_384, False, counted.append)
+    wire = b"".join(
+        data_frame(1, b"x" * 10) + encode_item(1, 5) + data_frame(3, b"y" * 20) for _ in range(100)
+    )
     assert merger.feed(wire) == [(1, b"x" * 1000), (3, b"y" * 2000), (1, 500)]
     assert counted.count("small") == 100 and counted.count("window") == 100
     assert [
@@ -105,17 +108,17 @@
     ] == [16_384, 20_000 - 16_384]
 
 
-def test_a_frame_longer_than_allowed_is_known_by_its_head():
-    merger = Merger(16_384, False, lambda kind: None)
+def test_a_frame_longer_than_allowed_is_rejected_by_its_header():
+    merger = FrameMerger(16_384, False, lambda kind: None)
     assert merger.feed(data_frame(1, b"x" * 16_384)[:9]) == []
-    with pytest.raises(TooLong):
-        Merger(16_384, False, lambda kind: None).feed((16_385).to_bytes(3, "big") + b"\0" * 6)
+    with pytest.raises(FrameTooLong):
+        FrameMerger(16_384, False, lambda kind: None).feed((16_385).to_bytes(3, "big") + b"\0" * 6)
 
 
 def test_windows_that_would_overflow_are_left_to_h2():
-    merger = Merger(16_384, False, lambda kind: None)
-    out = merger.feed(frame_of(1, 2**31 - 1) + frame_of(1, 1))
-    assert out == [(1, 2**31 - 1), frame_of(1, 1)]
+    merger = FrameMerger(16_384, False, lambda kind: None)
+    out = merger.feed(encode_item(1, 2**31 - 1) + encode_item(1, 1))
+    assert out == [(1, 2**31 - 1), encode_item(1, 1)]
 
 
 NAMES = st.sampled_from([b":status", b"grpc-status", b"x-a", b"x-bin", b"authorization", b"grpc-timeout"])
@@ -144,10 +147,10 @@
         return found
 
     assert rests(WakeupPacing(50), BURST_WAKEUPS + 3, 40) == [0] * (BURST_WAKEUPS - 1) + [50] * 4
-    assert not any(rests(WakeupPacing(50), 100, BURST_GAP_US))  # one message and its answer: never held up
+    assert not any(rests(WakeupPacing(50), 100, BURST_GAP_US))  # one message and its answer: never delayed
     assert not any(rests(WakeupPacing(0), 100, 40))
     assert rests(WakeupPacing(50), 2 * BURST_WAKEUPS + 4, 40, other=BURST_WAKEUPS + 1)[
         BURST_WAKEUPS : BURST_WAKEUPS + 3
     ] == [50, 0, 0]
     quiet = WakeupPacing(50)
-    assert [quiet.next_pause(i) for i in range(100)] == [0] * 100  # wake-ups for anything else
+    assert [quiet.next_pause(i) for i in range(100)] == [0] * 100  # wake-ups without a read from a connection
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -159,7 +159,7 @@
     config = replace(running[0].config, sockets=64, management=("127.0.0.1", 0))
     parts = build(config, ManualClockLoop())
     before = parts.instances._max_connections, parts.clients._max_connections, parts.clients._max_requests
-    parts.allow()
+    parts.apply_limits()
     assert (
         parts.instances._max_connections,
         parts.clients._max_connections,
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -274,10 +274,10 @@
         scene.discovery.list.apply(scene.table("s-0", "s-1", revision=2), cached=False)
         scene.discovery.freshness.confirm()
         handover = Handover(scene.loop, "/nowhere", scene.clients, scene.host, scene.discovery, None)
-        handover._whole = True
+        handover._state_complete = True
         link = type("Link", (), {"shift": 0, "close": lambda self, why: None})()
         state = {"list": scene.table("s-0", "s-1", revision=revision), "usable": usable}
-        handover._use(link, [{"phase": "serving"}, state])
+        handover._apply_state(link, [{"phase": "serving"}, state])
         assert scene.discovery.freshness.usable is used
         # Whether or not the list is used, the process calls discovery at once.
         assert b"?watch=1&from=%d " % revision in scene.discovery_peer.accept().message()[0]
