--- a/pulleyroute/net/handover.py
+++ b/pulleyroute/net/handover.py
@@ -400,9 +400,7 @@
         while not link.closed:
             descriptors, held = self._budget.usage()
             # Jobs that could not move yet: the new process must not accept their ids again.
-            link.send(
-                "share", {"descriptors": ensure_descriptors, "bytes": held, "jobs": self._host.request_ids()}
-            )
+            link.send("share", {"descriptors": descriptors, "bytes": held, "jobs": self._host.request_ids()})
             yield Wait(until=self._loop.now() + USAGE_INTERVAL_US)
 
     def _successor_closed(self) -> None:
--- a/pulleyroute/net/json_lines.py
+++ b/pulleyroute/net/json_lines.py
@@ -22,7 +22,7 @@
         self._depth = 0
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Yield what `data` completes: objects and empty lines. Raises ConnectionFailed if one is too long."""
+        """Yield the objects and empty lines in `data`; raises ConnectionFailed if one is too long."""
         self._partial_line += data  # in place: otherwise a long line would be copied with each part of it
         lines: list[bytes] = []
         if b"\n" in data:
