--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -265,7 +265,7 @@
     assert abs(new_rules.workers[b"s-0"].ejected_until - until) <= 20_000 and new.host.avoided == 1
     assert new_rules.workers[b"s-2"].budget == 0.75 and cold.budget == 0.0
     assert new_rules.class_run_times == {"read": 4321.0} and new_rules.mean_busy_slots == 1.75
-    earlier = {**snapshot.export_state(rules), "load": 3.5}
+    earlier = {**snapshot.pack_estimates(rules), "load": 3.5}
     del earlier["busy"]  # as an earlier version sends it, which had no such mean
     snapshot.restore_estimates(new_rules, earlier)
     assert new_rules.load == 3.5 and new_rules.mean_busy_slots == 1.75
