--- a/tests/test_rare_process.py
+++ b/tests/test_rare_process.py
@@ -1,4 +1,4 @@
-"""The program in its rarest moments: a signal before it runs, descriptors full while discovery is down."""
+"""Rare conditions of the whole process: a signal at its start, discovery down, no free descriptors."""
 
 import json
 import os
@@ -18,12 +18,13 @@
 from tests.net.test_main import until
 
 ROOT = Path(__file__).parent.parent
-GIVEN_TIME = 60
-SOCKETS = 64  # the fewest that a configuration may name
-HELD_BACK = """
+TIMEOUT = 60  # seconds
+SOCKETS = 64  # the lowest limit that a configuration may set
+# A `sitecustomize` module: the interpreter waits at its start until the gate is opened and closed.
+WAIT_AT_START = """
 import os
-if os.environ.get("HELD_BACK"):
-    with open(os.environ.pop("HELD_BACK")) as gate:
+if os.environ.get("START_GATE"):
+    with open(os.environ.pop("START_GATE")) as gate:
         gate.read()
 """
 
@@ -35,11 +36,11 @@
 
 def connect(address):
     host, port = address.split(":")
-    return socket.create_connection((host, int(port)), timeout=GIVEN_TIME)
+    return socket.create_connection((host, int(port)), timeout=TIMEOUT)
 
 
 def get(address, path):
-    """The answer to one request on a connection of its own, None while nobody listens."""
+    """Return the response to one request on a new connection, None if nothing listens."""
     try:
         with connect(address) as sock:
             sock.sendall(b"GET %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" % path)
@@ -53,15 +54,15 @@
 
 
 def ended(sock):
-    """Whether the other end has closed the connection."""
+    """Return whether the peer has closed the connection."""
     try:
         return not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return False
 
 
-def whole(sock):
-    """One whole message."""
+def read_message(sock):
+    """Read one complete HTTP message."""
     data = b""
     while True:
         head, mark, rest = data.partition(b"\r\n\r\n")
@@ -73,12 +74,12 @@
         if mark and len(rest) >= sum(lengths):
             return data
         piece = sock.recv(65536)
-        assert piece, "it ended"
+        assert piece, "the peer closed the connection"
         data += piece
 
 
 class Program:
-    """`run` of the deploy file, with a configuration of its own."""
+    """The `run` command of the deploy file, with its own configuration and resource limits."""
 
     def __init__(self, tmp_path, host, discovery, env=None, **limits):
         self.address, path = free_address(host), tmp_path / "config.json"
@@ -95,16 +96,16 @@
             )
         )
         run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-        here = run.replace(".venv/bin/python", sys.executable)
-        assert here != run
-        clean = {key: value for key, value in os.environ.items() if not key.startswith("PROXY_")}
+        command = run.replace(".venv/bin/python", sys.executable)
+        assert command != run
+        environ = {key: value for key, value in os.environ.items() if not key.startswith("PROXY_")}
         self.process = subprocess.Popen(
-            ["/bin/sh", "-c", here],
+            ["/bin/sh", "-c", command],
             cwd=ROOT,
             stderr=subprocess.PIPE,
-            env={**clean, "PROXY_CONFIG": str(path), **(env or {})},
+            env={**environ, "PROXY_CONFIG": str(path), **(env or {})},
             preexec_fn=lambda: [
-                resource.setrlimit(getattr(resource, name), (most, most)) for name, most in limits.items()
+                resource.setrlimit(getattr(resource, name), (limit, limit)) for name, limit in limits.items()
             ],
         )
 
@@ -116,14 +117,14 @@
         self.process.communicate()
 
 
-def test_a_new_configuration_told_before_the_program_runs_does_not_end_it(tmp_path):
-    # Guards a restart: until the program hears signals, SIGHUP would end it, as it does by default.
-    (tmp_path / "sitecustomize.py").write_text(HELD_BACK)
+def test_a_reload_signal_before_the_program_runs_does_not_end_it(tmp_path):
+    # SIGHUP ends a process by default, so a reload during a restart would end one that doesn't handle it yet.
+    (tmp_path / "sitecustomize.py").write_text(WAIT_AT_START)
     gate = tmp_path / "gate"
     os.mkfifo(gate)
-    env = {"PYTHONPATH": str(tmp_path), "HELD_BACK": str(gate)}
+    env = {"PYTHONPATH": str(tmp_path), "START_GATE": str(gate)}
     with Program(tmp_path, "127.77.13.6", "127.77.13.6:1", env) as program:
-        with open(gate, "w"):  # opens once the interpreter stands there, before a line of the program has run
+        with open(gate, "w"):  # opens when the interpreter waits, before any line of the program has run
             program.process.send_signal(signal.SIGHUP)
         until(lambda: ready(program.address))
         program.process.send_signal(signal.SIGHUP)
@@ -131,19 +132,19 @@
         assert program.process.poll() is None
 
 
-@pytest.mark.parametrize("way", ["refuses", "hangs"])
-def test_it_is_ready_whatever_discovery_does(tmp_path, way):
+@pytest.mark.parametrize("fault", ["refuses", "hangs"])
+def test_the_program_gets_ready_while_discovery_is_down(tmp_path, fault):
     with ExitStack() as stack:
         discovery = stack.enter_context(socket.create_server(("127.77.13.7", 0)))
         address = "{}:{}".format(*discovery.getsockname())
-        if way == "refuses":
+        if fault == "refuses":
             discovery.close()
         program = stack.enter_context(Program(tmp_path, "127.77.13.7", address))
         until(lambda: ready(program.address))
 
 
-def test_idle_clients_take_no_descriptor_from_discovery_instances_or_call_backs(tmp_path):
-    # Guards the service against clients that fill every descriptor while discovery is down and stay.
+def test_idle_clients_take_no_descriptors_from_discovery_instances_or_callbacks(tmp_path):
+    # Clients could take every descriptor while discovery is down, and keep their connections open.
     host = "127.77.13.8"
     with ExitStack() as stack:
         discovery = stack.enter_context(socket.create_server((host, 0)))
@@ -151,14 +152,14 @@
         address = "{}:{}".format(*discovery.getsockname())
         program = stack.enter_context(Program(tmp_path, host, address, RLIMIT_NOFILE=SOCKETS))
         until(lambda: ready(program.address))
-        known = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-        for _ in range(3 * SOCKETS):  # known ones, that rest from then on: discovery has not answered yet
+        request = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
+        for _ in range(3 * SOCKETS):  # idle after one request; discovery has not answered yet
             client = stack.enter_context(connect(program.address))
-            client.sendall(known)
+            client.sendall(request)
             assert client.recv(65536).startswith(b"HTTP/1.1 200 ")
         for listener in (discovery, runner):
-            listener.settimeout(GIVEN_TIME)
-        while True:  # it is back: a watch gets through, of which the caller still waits for the answer
+            listener.settimeout(TIMEOUT)
+        while True:  # discovery is back: wait for a watch that has not been closed
             watch = stack.enter_context(discovery.accept()[0])
             if b"watch=1" in watch.recv(65536) and not ended(watch):
                 break
@@ -182,11 +183,11 @@
             b"Content-Length: 0\r\n\r\n"
         )
         job = stack.enter_context(runner.accept()[0])
-        assert b"X-Txn: t1" in whole(job)
+        assert b"X-Txn: t1" in read_message(job)
         job.sendall(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
         body = b'{"id":"t1","from":"s-0","state":"done","result":"r"}'
         call = stack.enter_context(connect(program.address))
         call.sendall(callback(body))
         assert b" 204 " in call.recv(65536)
-        assert whole(client).endswith(b"\r\n\r\nr")
+        assert read_message(client).endswith(b"\r\n\r\nr")
         assert program.process.poll() is None
