--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The same cases in every run, whatever the machine's speed; and what KNOWN-RED.txt lists."""
+"""Loads the plugin for KNOWN-RED.txt, and makes hypothesis draw the same cases in every run."""
 
 from hypothesis import settings
 
@@ -6,5 +6,5 @@
 
 __all__ = ["pytest_collection_modifyitems", "pytest_terminal_summary"]
 
-settings.register_profile("same", derandomize=True, deadline=None)
-settings.load_profile("same")
+settings.register_profile("deterministic", derandomize=True, deadline=None)
+settings.load_profile("deterministic")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What KNOWN-RED.txt may excuse, and what it may not. Each case is a run of pytest of its own."""
+"""Which failures KNOWN-RED.txt excuses. Each case is a separate run of pytest."""
 
 import os
 import subprocess
@@ -43,7 +43,7 @@
     assert "known red: test_a.py::test_red: the list is late (issue 29)" in out
 
 
-def test_only_the_listed_test_is_passed_over(tmp_path):
+def test_only_the_listed_test_may_fail(tmp_path):
     assert run(tmp_path, RED + "\n", other=False)[0] == 1
     assert run(tmp_path, None)[0] == run(tmp_path, "")[0] == 1
 
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(
-    "lines, told",
+    "lines, message",
     [
         ("test_a.py::test_red | no issue", "KNOWN-RED.txt:1: expected 'test id | cause | issue number'"),
         (RED + "\n\n", "KNOWN-RED.txt:2: expected"),
@@ -69,6 +69,6 @@
         (RED + "\n" + RED, "expected each test once"),
     ],
 )
-def test_what_is_not_in_form_ends_the_run(tmp_path, lines, told):
+def test_a_malformed_file_is_a_usage_error(tmp_path, lines, message):
     code, out = run(tmp_path, lines)
-    assert code == 4 and told in out and "Traceback" not in out
+    assert code == 4 and message in out and "Traceback" not in out
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,7 +10,7 @@
 
 
 def test_rules_stay_within_740_lines_that_are_not_blank():
-    # 650 until jobs that do not start came to be moved; 740 is what the bench's limits leave.
+    # 740 is what the limits of the test bench leave; it was 650 before jobs that do not start were moved.
     assert sum(1 for line in RULES.read_text().splitlines() if line.strip()) <= 740
 
 
@@ -40,7 +40,7 @@
     assert "open(" not in text and "print(" not in text and "global " not in text
 
 
-def test_the_platforms_start_imports_nothing_of_the_fleet_nor_what_is_heavy():
+def test_the_dispatcher_imports_no_package_of_the_fleet_and_no_heavy_one():
     code = """
 import sys
 import pulleyroute.__main__
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -1,4 +1,4 @@
-"""Configurations that name 1,024 dispatchers or instances."""
+"""Configurations with 1,024 dispatchers or instances."""
 
 import json
 
@@ -11,10 +11,10 @@
 from tests.test_config import GOOD
 
 COUNT = 1024
-TARGET = 5700  # dispatchers of the largest deployment that is designed for
+TARGET = 5700  # dispatchers of the largest deployment that the design supports
 
 
-def test_a_file_may_name_1024_instances_and_as_many_dispatchers(tmp_path):
+def test_a_file_may_list_1024_instances_and_as_many_dispatchers(tmp_path):
     instances = "".join(
         f'  instance "r{number}" {{\n    address = "127.0.0.1:{20_000 + number}"\n  }}\n'
         for number in range(COUNT)
@@ -34,7 +34,7 @@
     scene = Scene(info={**INFO, "balancers": dispatchers, "me": dispatchers - 1})
     (one,) = scene.table("s-0")["members"]
     members = [{**one, "id": f"s-{number}"} for number in range(COUNT)]
-    told = {
+    data = {
         "name": "n",
         "listen": "127.0.0.1:8080",
         "discovery": "127.0.0.1:8500",
@@ -42,7 +42,7 @@
         "settings": {**INFO, "balancers": dispatchers, "me": dispatchers - 1},
     }
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(data))
     config = load_config({"PROXY_CONFIG": str(path)})
     assert (config.settings.dispatchers, config.settings.me) == (dispatchers, dispatchers - 1)
     scene.discovery.load_known(config.known)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec and the host, on hand-made bytes."""
+"""The codec of the wire and the host of many dispatchers, on hand-made bytes."""
 
 import io
 import json
@@ -44,7 +44,7 @@
 from pulleyroute.wire import BATCH_HEADER, Begin, Decoder, WireError, encode
 
 WORKER = bytes.fromhex("0a124a072b23")
-SUBMIT = (  # all but its flags
+SUBMIT = (  # a job's record without its options
     "00 0300 c4913a5d063a0300 00 80a90300 00000000 0000 e02e0000 00000040 640ad2557c3bf091 "
 )
 INFO = {
@@ -88,60 +88,60 @@
     return struct.pack("<BHQI", 8, instance, 42, len(text)) + text
 
 
-def records(count, *parts):
+def decode(count, *parts):
     return Decoder().batch(count, b"".join(parts))
 
 
-def one(hexed, decoder=None):
-    ((instance, event),) = (decoder or Decoder()).batch(1, bytes.fromhex(hexed))
+def decode_one(hex_text, decoder=None):
+    ((instance, event),) = (decoder or Decoder()).batch(1, bytes.fromhex(hex_text))
     return instance, event
 
 
 def test_submit():
-    instance, event = one(SUBMIT + "0100")
+    instance, event = decode_one(SUBMIT + "0100")
     assert instance == 3
     assert event == JobArrived(0x33A065D3A91C4, 0, 240000, 2.0, 0.0, 0, 12000, 0x91F03B7C55D20A64, False)
 
 
-def test_a_hint_without_its_bit_is_absent():
-    _, event = one(SUBMIT + "0200")
+def test_a_hint_without_its_option_bit_is_ignored():
+    _, event = decode_one(SUBMIT + "0200")
     assert event.cost_hint is None and event.is_repeat
 
 
 def test_notes():
     job = 0x33A065D3A91C4
     attempt = "0300 c4913a5d063a0300 0000 0a124a07 2b23 "
-    assert one("01" + attempt + "01 0000003f") == (3, AttemptStarted(job, 0, WORKER))
-    assert one("01" + attempt + "02 0000003f") == (3, AttemptProgress(job, 0, WORKER, 0.5))
-    assert one("05" + attempt + "22240000") == (3, StreamBegan(job, 0, WORKER))
+    assert decode_one("01" + attempt + "01 0000003f") == (3, AttemptStarted(job, 0, WORKER))
+    assert decode_one("01" + attempt + "02 0000003f") == (3, AttemptProgress(job, 0, WORKER, 0.5))
+    assert decode_one("05" + attempt + "22240000") == (3, StreamBegan(job, 0, WORKER))
 
 
-def test_lists_travel_by_their_number():
+def test_lists_are_sent_once_and_referred_to_by_number():
     decoder = Decoder()
-    sheet = bytes.fromhex(
+    list_record = bytes.fromhex(
         "02 0000 02000000 0a124a07 2b23 0000 0000000000000000 0000803f 0000 0000 01"
         "0a9011f2 5423 0000 20145d0000000000 0000c03f 0000 0100 02"
     )
-    targets = bytes.fromhex("03 0300 29000000 02 0000")
-    ((instance, event),) = decoder.batch(2, sheet + targets)
+    update = bytes.fromhex("03 0300 29000000 02 0000")
+    ((instance, event),) = decoder.batch(2, list_record + update)
     assert (instance, type(event), event.version, event.kind) == (3, WorkerList, 41, ListKind.CACHED)
     assert [(e.worker, e.state, e.started, e.size, e.zone) for e in event.entries] == [
         (WORKER, WorkerState.READY, 0, 1.0, 0),
         (bytes.fromhex("0a9011f25423"), WorkerState.DRAINING, 0x5D1420, 1.5, 1),
     ]
     other = bytes.fromhex("02 0000 00000000")
-    events = decoder.batch(3, targets + other + targets)
+    events = decoder.batch(3, update + other + update)
     assert [len(e.entries) for _, e in events] == [2, 0]
 
 
 def test_a_failed_list_needs_no_number():
-    assert one("03 0300 29000000 03 0900") == (3, WorkerList(41, ListKind.FAILED, []))
+    assert decode_one("03 0300 29000000 03 0900") == (3, WorkerList(41, ListKind.FAILED, []))
 
 
 def test_small_events():
-    assert one("04 0300 4d000000") == (3, TimerFired(77))
-    assert one("0b 0500 192b6f0e57ee0100") == (5, JobExpired(0x1EE570E6F2B19))
-    assert one("09 0300 0200 0400 68692037") == (3, PeerMessage(2, b"hi 7"))
+    assert decode_one("04 0300 4d000000") == (3, TimerFired(77))
+    assert decode_one("0b 0500 192b6f0e57ee0100") == (5, JobExpired(0x1EE570E6F2B19))
+    assert decode_one("09 0300 0200 0400 68692037") == (3, PeerMessage(2, b"hi 7"))
 
 
 def test_outcomes_and_reports():
@@ -149,11 +149,11 @@
     decoder.batch(1, begin())
     report = LoadReport(in_hand=7.0, free_slots=0.5, free_memory=2.0)
     values = struct.pack("<B4f", 4, 7.0, 0.5, 9.0, 2.0).hex()
-    _, probed = one("0a 0300 0a124a07 2b23 00 78050000" + values, decoder)
+    _, probed = decode_one("0a 0300 0a124a07 2b23 00 78050000" + values, decoder)
     assert probed == ProbeEnded(WORKER, Outcome.OK, 1400, report)
     for code, outcome in {0: 0, 5: 1, 11: 2, 110: 3, 111: 4, 104: 5, 125: 6, 114: 7}.items():
         head = f"07 0300 c4913a5d063a0300 44480000 01 {code:02x} "
-        _, ended = one(head + "0000 00000000 0a124a07 2b23 00", decoder)
+        _, ended = decode_one(head + "0000 00000000 0a124a07 2b23 00", decoder)
         assert ended == AttemptEnded(0x33A065D3A91C4, 0, WORKER, Outcome(outcome), True, 0x4844, None)
 
 
@@ -172,8 +172,8 @@
         "0a 0300 01": Subscribe(True),
         "07 0300 ffff 0400 68692037": SendToPeer(b"hi 7"),
     }
-    for hexed, action in cases.items():
-        assert encode(3, action) == bytes.fromhex(hexed)
+    for hex_text, action in cases.items():
+        assert encode(3, action) == bytes.fromhex(hex_text)
 
 
 def test_settings():
@@ -198,15 +198,15 @@
         (["balancers"], float("nan"), "balancers"),
     ],
 )
-def test_a_missing_or_senseless_setting_is_named(path, value, named):
+def test_a_missing_or_invalid_setting_is_named(path, value, named):
     info = json.loads(json.dumps(INFO))
-    place = info
+    section = info
     for key in path[:-1]:
-        place = place[key]
+        section = section[key]
     if value is None:
-        del place[path[-1]]
+        del section[path[-1]]
     else:
-        place[path[-1]] = value
+        section[path[-1]] = value
     with pytest.raises(SettingsError, match=named.replace(".", r"\.")):
         decode_settings(json.dumps(info).encode())
 
@@ -225,7 +225,7 @@
 )
 def test_malformed_records_are_named(count, body, text):
     with pytest.raises(WireError, match=text):
-        records(count, body)
+        decode(count, body)
 
 
 def batch(count, body, now=1000):
@@ -238,14 +238,14 @@
     assert sink.getvalue() == bytes(8)
 
 
-def test_halt_and_begin_in_one_batch_start_a_new_life():
+def test_halt_and_begin_in_one_batch_start_a_new_dispatcher():
     host = Host()
-    sheet = bytes.fromhex("02 0000 01000000 0a124a07 2b23 0000 0000000000000000 0000803f 0000 0000 01")
-    targets = bytes.fromhex("03 0300 29000000 02 0000")
+    list_record = bytes.fromhex("02 0000 01000000 0a124a07 2b23 0000 0000000000000000 0000803f 0000 0000 01")
+    update = bytes.fromhex("03 0300 29000000 02 0000")
     job = bytes.fromhex(SUBMIT + "0100")
     halt = bytes.fromhex("06 0300")
-    host.reply(4, 0, begin() + sheet + targets + job)
-    reply = host.reply(4, 10, halt + begin() + targets + job)
+    host.reply(4, 0, begin() + list_record + update + job)
+    reply = host.reply(4, 10, halt + begin() + update + job)
     assert reply.count(WORKER) == 2  # a probe of the newly listed worker and a push
     with pytest.raises(WireError, match="not begun"):
         host.reply(2, 20, halt + job)
@@ -273,7 +273,7 @@
         batch(1, begin(info={})),
     ],
 )
-def test_a_malformed_frame_ends_with_one_plain_line(stream):
+def test_a_malformed_batch_ends_the_process_with_one_line(stream):
     root = Path(__file__).parent.parent
     done = subprocess.run(
         [sys.executable, "-m", "pulleyroute.adapter"],
@@ -288,5 +288,5 @@
 
 
 def test_begin_carries_the_seed():
-    ((instance, event),) = records(1, begin())
+    ((instance, event),) = decode(1, begin())
     assert instance == 3 and isinstance(event, Begin) and event.seed == 42
