--- a/pulleyroute/rules.py
+++ b/pulleyroute/rules.py
@@ -24,14 +24,14 @@
 # Free slots in another zone that weigh as much as one in the own zone, for each 0.01 of `price_cross_zone`.
 ZONE_PREFERENCE_SLOTS = 12.0
 ERROR_WEIGHT = 0.1  # factor for an error score of 1; a healthy worker hardly ever fails twice in a row
-ERROR_RECOVERY = 0.3  # share by which a success lowers the error score
+ERROR_RECOVERY = 0.3  # share of the error score that a success removes
 MISSED_PROGRESS = 2.5  # progress intervals without a report from a running job: one may be late, two are not
 PLANNED_BUDGET_SHARE = 0.5  # of a cold worker's budget; the rest is for jobs heavier than the mean
 # A dispatcher's part of a shared budget follows its own load over the mean load, within these bounds, and is
 # reduced by a margin for the error that the estimates of all dispatchers may have in common.
 MIN_LOAD_RATIO, MAX_LOAD_RATIO, LOAD_RATIO_MARGIN = 0.25, 3.0, 0.8
 MEDIAN_RUN_TIME_SHARE = 0.5  # the median running time as a share of the mean; running times have long tails
-QUEUE_DRAIN_RATE = 0.5  # by which a queue wait shrinks per unit of time, as if half its work kept coming
+QUEUE_DRAIN_RATE = 0.5  # us by which a queue wait shrinks per us, as if half of its work kept coming
 WORTH_EXPONENT = 0.5  # of a class's worth per running time, relative to the best class's; see `worth_factor`
 EWMA_WEIGHT = 0.1  # of the newest sample in an exponentially weighted moving average
 # A push that has not started within this share of the class's aim, plus this many times the worker's fastest
@@ -142,7 +142,7 @@
         self.ejections = 0  # since the worker last responded
         self.last_seen = self.last_wait = 0  # last sign of life; us that a job waited, at `last_wait_at`
         self.last_wait_at = self.longest_wait = 0
-        self.budget = -1.0  # slow start: tokens, in mean jobs; below 0: not yet opened
+        self.budget = -1.0  # slow start: tokens, in mean jobs; below 0 with `budget_at` 0: not yet opened
         self.budget_at = 0  # when tokens were last added
 
 
@@ -311,13 +311,13 @@
 
     def choose_worker(self, job: Job) -> Worker | None:
         """Return a worker by weighted random choice, None if no weight is above 0."""
-        among = self.eligible(job)
+        candidates = self.eligible(job)
         # If no untried worker is left, one that rejected the job may have a free slot by now. A worker where
         # the job may have run never gets it again.
         for avoid in ([a.worker for a in job.attempts], [a.worker for a in job.attempts if a.may_have_run]):
-            weights = [0.0 if w in avoid else self.weight(w, job) for w in among]
+            weights = [0.0 if w in avoid else self.weight(w, job) for w in candidates]
             if sum(weights) > 0:
-                return self.rng.choices(among, weights)[0]
+                return self.rng.choices(candidates, weights)[0]
         return None
 
     def zone_preference(self, cls: api.JobClass) -> float:
@@ -337,14 +337,14 @@
         cls, bound = job.cls, self.binding_attempt(job)
         if bound is not None and self.now >= bound.sent_at + cls.repeat_window:
             return []
-        among = self.subset if bound is None and cls.kind < 0 else self.ready
+        candidates = self.subset if bound is None and cls.kind < 0 else self.ready
         if cls.kind >= 0:
-            among = [w for w in among if w.kind == cls.kind]
+            candidates = [w for w in candidates if w.kind == cls.kind]
         if bound is not None and cls.scope is Scope.ZONE:
-            among = [w for w in among if w.zone == bound.worker.zone]
+            candidates = [w for w in candidates if w.zone == bound.worker.zone]
         elif bound is not None and cls.scope is Scope.CELL:
-            among = [w for w in among if w.cell == bound.worker.cell]
-        return among
+            candidates = [w for w in candidates if w.cell == bound.worker.cell]
+        return candidates
 
     def waiting_attempts(self, worker: Worker) -> list[Attempt]:
         """Return own pushes that wait at the worker for their start, the oldest first.
@@ -438,11 +438,11 @@
         """
         s = self.settings
         limit = s.tip_multiple * share * max(worker.capacity, 1.0) * s.tip_window / self.warm_run_time  # jobs
-        # A free slot in a fresh report proves that all dispatchers together send less than the worker does:
+        # A free slot in a fresh report proves that all dispatchers together send less than the worker can do:
         # a reserve for chance and uneven load is not needed then, and would leave a cold fleet idle.
         slot_free = (worker.free_slots or 0.0) >= 1 and self.now - worker.report_at < s.tip_window / 2
-        # The dispatchers whose subset has the worker: as many on average, else twice as many, as subsets are
-        # not spread evenly.
+        # Dispatchers that use the worker: the mean number of them if a slot is free; else twice as many, as
+        # subsets are not spread evenly.
         sharers = s.dispatchers * min(1.0, (2 - slot_free) * max(1, len(self.subset)) / len(self.ready))
         planned = PLANNED_BUDGET_SHARE * limit
         if slot_free and self.now - worker.started > 2 * s.tip_window:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -303,8 +303,8 @@
     harness = Harness([ready(b"a"), ready(b"b")], probes=True)
     _, actions = harness.submit()
     worker = pushed_worker(actions)
-    asked = of_type(Probe, harness.advance(4 * SECOND))
-    assert Probe(worker) in asked
+    probes = of_type(Probe, harness.advance(4 * SECOND))
+    assert Probe(worker) in probes
     for _ in range(2):
         harness.handle(ProbeEnded(worker, Outcome.TIMEOUT))
     assert of_type(Cancel, harness.advance(SECOND))
@@ -702,13 +702,13 @@
         harness = Harness([ready(b"w")], seed=seed, list_on_request=True, drain_grace=3 * SECOND // 2)
         harness.handle(WorkerList(1, ListKind.FAILED, []))
         assert of_type(Subscribe, harness.advance(SECOND))
-    asked = []
+    subscribed = []
     for seed in range(20):
         harness = Harness([ready(b"w")], seed=seed, list_on_request=True, drain_grace=3 * SECOND // 2)
         for _ in range(3):
             harness.handle(WorkerList(1, ListKind.FAILED, []))
-        asked.append(bool(of_type(Subscribe, harness.advance(SECOND))))
-    assert not all(asked)
+        subscribed.append(bool(of_type(Subscribe, harness.advance(SECOND))))
+    assert not all(subscribed)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -1,7 +1,7 @@
 """The values that a hand-over passes between two processes, which may be of different versions.
 
-The expected JSON texts were written by the version that first had these keys. A process of that version reads
-each key by its name, so their names, their set and their order must not change.
+The expected JSON texts were written by the version in which each attribute still had the name of its key. A
+process of that version reads each key by its name, so their names, their set and their order must not change.
 """
 
 import json
@@ -21,7 +21,7 @@
 
 START = 1_000 * SECOND  # microseconds
 
-# As written by the first version that has these keys.
+# As written by the earlier version.
 GENERAL = (
     '{"busy": 0.8120483871809848, "gap": 912030.0103, "load": 0.1, "probe_credit": 4, '
     '"running": 890583.3, "runs": {"safe": 872358.3}, "tight": 0.5880629918885185, '
@@ -180,7 +180,7 @@
     }
 
 
-def test_the_packed_values_are_byte_for_byte_those_of_the_first_version():
+def test_the_packed_values_are_byte_for_byte_those_of_the_earlier_version():
     values = pack_scenario()
     assert json.dumps(values["general"]) == GENERAL
     assert [json.dumps(worker) for worker in values["workers"]] == WORKERS
@@ -198,7 +198,7 @@
     return [getattr(source, name) for name in names.values()]
 
 
-def test_the_values_of_the_first_version_end_up_in_their_attributes():
+def test_the_values_of_the_earlier_version_end_up_in_their_attributes():
     rules, general, shift = receiver(), json.loads(GENERAL), 7_000
     snapshot.restore_estimates(rules, general)
     assert attributes(rules, GENERAL_ATTRIBUTES) == [general[key] for key in GENERAL_ATTRIBUTES]
