--- a/pulleyroute/net/instance.py
+++ b/pulleyroute/net/instance.py
@@ -1,4 +1,4 @@
-"""Connections to instances: attempts, giving them up, and probes."""
+"""Connections to instances over HTTP/1.1: attempts, their cancellation, and probes."""
 
 from __future__ import annotations
 
@@ -30,21 +30,22 @@
 from pulleyroute.net.loop import Coroutine, Loop, Task, Timer, Wait
 from pulleyroute.net.metrics import Metrics
 
-PROBE_TIME = 500_000
-GIVE_UP_TIME = 1_000_000  # for a DELETE and its answer
-ANSWER_GRACE = 1_000_000  # an answer may be read this long after its attempt ended otherwise
-CONNECT_TIME = 1_000_000  # where the settings name no limit
-MAY_PASS = (408, 429)  # of the answers that blame a request, those that a repeat may not get
-DISTRUST = 10_000_000  # how long kept ones carry only what may be repeated freely after one has broken
-# What may not be repeated goes out on a kept connection only once that has been silent for so long. Guards
-# against a second answer that comes late and would be taken for the next request's. It is the slack that the
-# protocol gives each limit.
-SILENT_FOR = 50_000
-FIRST_PAUSE, LONGEST_PAUSE = 100_000, 1_000_000  # between two tries to tell an instance that it is given up
-IDLE_SHARE = 0.7  # of the time after which the instance's machine may close an idle connection
-
-# A load report's values have other names on sockets than in the settings.
-_SOCKET_NAMES = {
+PROBE_TIMEOUT_US = 500_000
+CANCEL_TIMEOUT_US = 1_000_000  # for a DELETE and its response, if the settings have no connect timeout
+ANSWER_GRACE_US = 1_000_000  # a response is still read for so long after its attempt has timed out
+CONNECT_TIMEOUT_US = 1_000_000  # if the settings have none
+TRANSIENT_STATUSES = (408, 429)  # 4xx responses that a retry may not receive again
+# After a request has failed on a kept connection, kept ones carry only repeatable requests for so long.
+KEPT_DISTRUST_US = 10_000_000
+# A request that may not be repeated is sent on a kept connection only once that has been silent for so long:
+# a late second response to the previous request would be taken for this one's. The value is the tolerance
+# that the protocol allows for each time limit.
+MIN_SILENCE_US = 50_000
+FIRST_RETRY_DELAY_US, MAX_RETRY_DELAY_US = 100_000, 1_000_000  # between two tries of a DELETE
+IDLE_TIMEOUT_SHARE = 0.7  # of the keep-alive time, after which an instance may close an idle connection
+
+# Fields of a load report whose names on the wire differ from those in the settings.
+_SETTINGS_NAME_BY_FIELD = {
     "inflight": "rif",
     "queue": "q",
     "util": "busy",
@@ -56,7 +57,10 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try of a request at an instance. The host sets it up; `written` and below are this module's."""
+    """One attempt to serve a request at an instance.
+
+    The host creates it; `written` and the attributes below are set by the connection to the instance.
+    """
 
     txn: str
     index: int
@@ -67,42 +71,42 @@
     body: bytes
     sent: int
     timeout_at: int
-    repeatable: bool = True  # freely, whatever became of it
-    unsafe: bool = False  # never twice
-    over: bool = False  # its outcome is known
-    stopping: bool = False  # it is being given up
+    repeatable: bool = True  # the request may be sent again whatever became of this attempt
+    unsafe: bool = False  # the request may never run twice
+    over: bool = False  # the outcome is known
+    stopping: bool = False  # the attempt is being cancelled
     started: bool = False
     outcome: Outcome | None = None
     timer: Timer | None = None
-    call: object = None  # what a front that streams has bound to the request
-    incarnation: int = 0  # of the instance that the decisions chose
-    written: bool = field(default=False, init=False)  # the last byte is with the kernel
-    reused_connection: bool = field(default=False, init=False)  # sent on a connection kept from before
+    call: object = None  # the call that a streaming front has bound to the request
+    incarnation: int = 0  # of the instance when the decisions chose it
+    written: bool = field(default=False, init=False)  # the kernel has accepted the last byte
+    reused_connection: bool = field(default=False, init=False)  # not opened for this attempt
     accepted: bool = field(default=False, init=False)  # the instance answered 202
-    nacked: bool = field(default=False, init=False)  # the instance answered with a marked nack
+    nacked: bool = field(default=False, init=False)  # the instance answered with a marked rejection
     task: Task | None = field(default=None, init=False)
 
 
 class AttemptEnded(Protocol):
-    """An attempt's outcome."""
+    """Reports the outcome of an attempt, with the load report of its response."""
 
     def __call__(self, attempt: Attempt, outcome: Outcome, report: LoadReport | None, /) -> None: ...
 
 
 class BeginCheck(Protocol):
-    """Whether an attempt may begin now; what may not is settled by whoever says so."""
+    """Decides whether an attempt may still be sent; the callee concludes an attempt that may not."""
 
     def __call__(self, attempt: Attempt, /) -> bool: ...
 
 
 class RequestRejected(Protocol):
-    """An instance can't use the request."""
+    """Reports that an instance has rejected the request itself as invalid."""
 
     def __call__(self, attempt: Attempt, /) -> None: ...
 
 
 class ProbeEnded(Protocol):
-    """A probe's outcome, and how many microseconds it took."""
+    """Reports the outcome of a probe and its duration `took` in microseconds."""
 
     def __call__(
         self, instance: WorkerId, outcome: Outcome, took: int, report: LoadReport | None, /
@@ -110,16 +114,16 @@
 
 
 @dataclass(slots=True)
-class Kept:
-    """A connection between two requests."""
+class IdleConnection:
+    """A kept connection between two requests."""
 
-    since: int
+    idle_since: int  # microseconds of the loop's clock
     stream: Stream
-    incarnation: int  # of the instance that it leads to
+    incarnation: int  # of the instance that the connection was opened to
 
 
 class Instances:
-    """Owns every connection to an instance."""
+    """Owns the HTTP/1.1 connections to all instances, and sends attempts and probes on them."""
 
     def __init__(
         self,
@@ -127,7 +131,7 @@
         pool: BufferPool,
         discovery: DiscoveryClient,
         settings: Settings,
-        most: int,
+        max_connections: int,
         metrics: Metrics | None = None,
         seed: int = 0,
     ) -> None:
@@ -136,12 +140,12 @@
         self._discovery = discovery
         self._random = Random(seed)
         self.adopt(settings)
-        self._max_connections = most  # connections at once
+        self._max_connections = max_connections
         self._metrics = metrics or Metrics()
         self._count = 0
-        self._idle: dict[WorkerId, list[Kept]] = {}
-        self._sweeping = False
-        self._distrust_until = 0  # a kept connection broke under a request not long ago
+        self._idle: dict[WorkerId, list[IdleConnection]] = {}
+        self._sweep_scheduled = False
+        self._distrust_until = 0  # set when a request has failed on a kept connection
         self.ended: AttemptEnded = lambda attempt, outcome, report: None
         self.gate: BeginCheck = lambda attempt: True
         self.rejected: RequestRejected = lambda attempt: None
@@ -149,57 +153,57 @@
 
     @property
     def count(self) -> int:
-        """Connections, idle ones included."""
+        """The number of connections, including idle ones."""
         return self._count
 
     def adopt(self, settings: Settings) -> None:
-        """Other settings from now on."""
+        """Apply other settings from now on."""
         self._settings = settings
-        self._idle_time = int(settings.keepalive * IDLE_SHARE) or 2_000_000
+        self._idle_timeout = int(settings.keepalive * IDLE_TIMEOUT_SHARE) or 2_000_000
 
-    def set_connection_limit(self, most: int) -> None:
-        """Another budget of connections from now on."""
-        self._max_connections = most
+    def set_connection_limit(self, max_connections: int) -> None:
+        """Replace the limit of connections."""
+        self._max_connections = max_connections
 
     # Connections
 
-    def _kept(self, instance: WorkerId, silent_for: int = 0) -> Stream | None:
-        """A kept connection that is still there, as far as can be seen, and has been silent for so long."""
+    def _take_idle(self, instance: WorkerId, min_silence: int = 0) -> Stream | None:
+        """Take a kept connection that seems to be open and has been silent for at least `min_silence`."""
         idle = self._idle.get(instance, [])
-        for place in reversed(range(len(idle))):  # the last one first
-            kept = idle[place]
-            silent = self._loop.now() - kept.since
-            if silent < silent_for:
+        for index in reversed(range(len(idle))):  # the most recently used one first
+            kept = idle[index]
+            silence = self._loop.now() - kept.idle_since
+            if silence < min_silence:
                 continue
-            del idle[place]
-            # Guards against the instance's time limit: a request on a connection that it closes is a reset;
-            # and against a connection to a process before the one that is listed.
+            del idle[index]
+            # A request on a connection that the instance closes for being idle counts as reset, and an old
+            # connection may lead to an earlier process than the one that is listed.
             if (
-                silent < self._idle_time
+                silence < self._idle_timeout
                 and kept.incarnation == self._discovery.incarnation(instance)
                 and kept.stream.reusable()
             ):
                 return kept.stream
-            self._drop(kept.stream)
+            self._close(kept.stream)
         return None
 
-    def _broke(self, instance: WorkerId) -> None:
-        """A kept connection broke under a request: those kept beside it are no better."""
+    def _on_reused_failure(self, instance: WorkerId) -> None:
+        """Close the other kept connections to an instance after a request has failed on one of them."""
         self.close_idle(instance)
-        self._distrust_until = self._loop.now() + DISTRUST
+        self._distrust_until = self._loop.now() + KEPT_DISTRUST_US
 
     def _open(self, instance: WorkerId) -> Coroutine[Stream]:
-        """A new connection."""
+        """Open a connection to an instance."""
         member = self._discovery.member(instance)
         if member is None:
-            raise ConnectionFailed("not in the discovery client")
+            raise ConnectionFailed("the instance is not listed")
         if self._count >= self._max_connections:
-            self._drop_oldest()
+            self._close_oldest_idle()
         if self._count >= self._max_connections:
-            raise ConnectionLimitReached("the budget of connections is used up")
+            raise ConnectionLimitReached("the limit of connections is reached")
         self._count += 1
         try:
-            limit = self._settings.connect_timeout or CONNECT_TIME
+            limit = self._settings.connect_timeout or CONNECT_TIMEOUT_US
             if log.debugging:
                 log.event("connect", instance=instance.decode())
             return (yield from connect(self._loop, self._pool, member.address, self._loop.now() + limit))
@@ -207,42 +211,46 @@
             self._count -= 1
             raise
 
-    def _keep(self, instance: WorkerId, stream: Stream, incarnation: int) -> None:
-        """Keep a connection for later; `incarnation` is what was listed when it was opened, or found good."""
+    def _put_idle(self, instance: WorkerId, stream: Stream, incarnation: int) -> None:
+        """Keep a connection for reuse, or close it if it can't be reused.
+
+        `incarnation` is the one that was listed when the connection was opened or last reused.
+        """
         if not stream.reusable():
-            self._drop(stream)
+            self._close(stream)
             return
-        self._idle.setdefault(instance, []).append(Kept(self._loop.now(), stream, incarnation))
-        if not self._sweeping:
-            self._sweeping = True
-            self._loop.call_at(self._loop.now() + self._idle_time, self._sweep)
+        self._idle.setdefault(instance, []).append(IdleConnection(self._loop.now(), stream, incarnation))
+        if not self._sweep_scheduled:
+            self._sweep_scheduled = True
+            self._loop.call_at(self._loop.now() + self._idle_timeout, self._close_expired)
 
-    def _drop(self, stream: Stream) -> None:
+    def _close(self, stream: Stream) -> None:
         if not stream.closed:
             self._count -= 1
             stream.close()
 
-    def _drop_oldest(self) -> None:
-        kept = min((k for k in self._idle.values() if k), key=lambda k: k[0].since, default=None)
+    def _close_oldest_idle(self) -> None:
+        kept = min((k for k in self._idle.values() if k), key=lambda k: k[0].idle_since, default=None)
         if kept:
-            self._drop(kept.pop(0).stream)
+            self._close(kept.pop(0).stream)
 
-    def _sweep(self) -> None:
-        """Close what has stood idle long enough."""
-        old = self._loop.now() - self._idle_time
+    def _close_expired(self) -> None:
+        """Close the connections that have been idle for the idle timeout, and schedule the next check."""
+        latest_expired = self._loop.now() - self._idle_timeout
         for kept in self._idle.values():
-            while kept and kept[0].since <= old:
-                self._drop(kept.pop(0).stream)
-        first = min((kept[0].since for kept in self._idle.values() if kept), default=None)
-        self._sweeping = first is not None
+            while kept and kept[0].idle_since <= latest_expired:
+                self._close(kept.pop(0).stream)
+        first = min((kept[0].idle_since for kept in self._idle.values() if kept), default=None)
+        self._sweep_scheduled = first is not None
         if first is not None:
-            self._loop.call_at(first + self._idle_time, self._sweep)
+            self._loop.call_at(first + self._idle_timeout, self._close_expired)
 
     def close_idle(self, instance: WorkerId) -> None:
+        """Close all kept connections to an instance."""
         for kept in self._idle.pop(instance, []):
-            self._drop(kept.stream)
+            self._close(kept.stream)
 
-    def _frame(
+    def _request_bytes(
         self,
         stream: Stream,
         instance: WorkerId,
@@ -261,145 +269,156 @@
     # Attempts
 
     def attempt(self, attempt: Attempt) -> None:
-        """Send the request; its outcome is told by `ended`, unless a call tells it first."""
-        attempt.task = Task(self._loop, self._attempting(attempt), f"attempt {attempt.txn}")
+        """Send the request of an attempt.
+
+        `ended` reports the outcome, unless a call-back of the instance has reported it first.
+        """
+        attempt.task = Task(self._loop, self._run_attempt(attempt), f"attempt {attempt.txn}")
         attempt.task.start()
 
-    def _attempting(self, attempt: Attempt) -> Coroutine[None]:
+    def _run_attempt(self, attempt: Attempt) -> Coroutine[None]:
         stream = None
         try:
             try:
                 if attempt.repeatable or self._loop.now() >= self._distrust_until:
-                    # Guards what can't be sent again: a kept connection may be gone and not show it, as where
-                    # an instance closes idle ones early.
-                    stream = self._kept(attempt.instance, 0 if attempt.repeatable else SILENT_FOR)
+                    # A kept connection may have been closed unnoticed, for example by an instance that closes
+                    # idle ones early: a request that can't be sent again would fail on it.
+                    stream = self._take_idle(attempt.instance, 0 if attempt.repeatable else MIN_SILENCE_US)
                 attempt.reused_connection = stream is not None
                 if stream is None:
                     stream = yield from self._open(attempt.instance)
-                if not self.gate(attempt):  # what allowed it may have passed while the connection came up
-                    self._keep(attempt.instance, stream, attempt.incarnation)
+                if not self.gate(attempt):  # it may have become obsolete while the connection was opened
+                    self._put_idle(attempt.instance, stream, attempt.incarnation)
                     stream = None
                     return
-                left = max(1, (attempt.timeout_at - self._loop.now()) // 1000)
+                remaining_ms = max(1, (attempt.timeout_at - self._loop.now()) // 1000)
                 headers = [
                     *attempt.headers,
                     (b"X-Txn", attempt.txn.encode()),
-                    (b"X-Remaining-Ms", b"%d" % left),
+                    (b"X-Remaining-Ms", b"%d" % remaining_ms),
                 ]
-                data = self._frame(
+                data = self._request_bytes(
                     stream, attempt.instance, attempt.method, attempt.target, headers, attempt.body
                 )
                 yield from stream.send(data, attempt.timeout_at)
             except ConnectionLimitReached:
                 self.ended(attempt, Outcome.MOOT, None)
                 return
-            except (ConnectionFailed, DeadlineExceeded) as exc:  # the last byte was not written: it never ran
+            except (ConnectionFailed, DeadlineExceeded) as exc:
+                # The last byte was not written, so the job can't have run.
                 logger.bind(event="instance.unreachable", instance=attempt.instance.decode()).warning(
                     "instance {}: could not connect: {}", attempt.instance.decode(), exc
                 )
                 if attempt.reused_connection:
-                    self._broke(attempt.instance)
+                    self._on_reused_failure(attempt.instance)
                 self.ended(attempt, Outcome.CONNECT_FAILED, None)
                 return
             attempt.written = True
             self._metrics.sends += 1
             try:
-                # No resending from here on, whatever the connection does: the request may have run.
+                # From here on the request may have run: it is not resent on another connection.
                 answer = yield from stream.response(
-                    attempt.timeout_at + ANSWER_GRACE, on_head=lambda status: self._begun(attempt, status)
+                    attempt.timeout_at + ANSWER_GRACE_US,
+                    on_head=lambda status: self._on_response_head(attempt, status),
                 )
             except (ConnectionFailed, DeadlineExceeded, Malformed) as exc:
                 if attempt.accepted:
-                    # Guards against a second copy: with the head of its 202 the instance has taken the job,
-                    # and calls back, however the rest of that answer ends.
+                    # With the head of its 202 response the instance has accepted the job and will call back,
+                    # even if the rest of the response is lost; a failure here would start a second copy.
                     return
                 if not attempt.over:
                     logger.bind(event="instance.reset", instance=attempt.instance.decode()).warning(
                         "instance {}: reset: {}", attempt.instance.decode(), exc
                     )
                 if attempt.reused_connection and not isinstance(exc, DeadlineExceeded):
-                    self._broke(attempt.instance)
+                    self._on_reused_failure(attempt.instance)
                 self.ended(attempt, Outcome.RESET, None)
                 return
-            self._keep(attempt.instance, stream, attempt.incarnation)
+            self._put_idle(attempt.instance, stream, attempt.incarnation)
             stream = None
-            self._judge(attempt, answer)
+            self._evaluate_response(attempt, answer)
         finally:
             if stream is not None:
-                self._drop(stream)
+                self._close(stream)
 
-    def _begun(self, attempt: Attempt, status: int) -> None:
+    def _on_response_head(self, attempt: Attempt, status: int) -> None:
         attempt.accepted = status == 202
 
-    def _judge(self, attempt: Attempt, answer: Message) -> None:
-        """What an instance's answer means for its attempt."""
+    def _evaluate_response(self, attempt: Attempt, answer: Message) -> None:
+        """Derive the outcome of an attempt from the response of the instance."""
         if attempt.accepted:
             return
-        marked = (b"x-turned-away", b"1") in answer.headers
+        is_rejection = (b"x-turned-away", b"1") in answer.headers
         report = None
         if self._settings.report_source is ReportSource.ANSWERS:
             values = [value for name, value in answer.headers if name == b"x-pressure"]
             report = self.parse_report(attempt.instance, values[0]) if values else None
-        if answer.status in (503, 504) and marked:
+        if answer.status in (503, 504) and is_rejection:
             attempt.nacked = True
             self.ended(attempt, Outcome.FULL, report)
             return
         logger.bind(
             event="instance.answered", instance=attempt.instance.decode(), status=answer.status
         ).warning("instance {}: answered {}", attempt.instance.decode(), answer.status)
-        if 400 <= answer.status < 500 and answer.status not in MAY_PASS:
+        if 400 <= answer.status < 500 and answer.status not in TRANSIENT_STATUSES:
             self.rejected(attempt)
             return
         self.ended(attempt, Outcome.ERROR, report)
 
-    def give_up(self, attempt: Attempt, given: Callable[[], None]) -> None:
-        """Stop an attempt at its instance: close before its answer, DELETE after.
+    def give_up(self, attempt: Attempt, on_cancelled: Callable[[], None]) -> None:
+        """Cancel an attempt: close its connection before the 202 response, send a DELETE after it.
 
-        `given` is called once the instance has heard of it; where second copies are allowed, or the attempt
-        has ended meanwhile, also if it can't be reached.
+        `on_cancelled` is called once the instance has been notified. If second copies are allowed, or the
+        attempt has ended meanwhile, it is also called when the instance can't be reached.
         """
         if attempt.task is not None and not attempt.task.done:
-            # Guards against a second copy: a close gives up only what has no 202 yet, and that may have come
-            # and wait to be read.
+            # Closing the connection cancels only an attempt without a 202 response, and that may have arrived
+            # and still be unread: the instance would work on while a second copy starts.
             attempt.task.hear()
             attempt.task.cancel()
         if attempt.accepted:
-            self._loop.spawn(self._deleting(attempt, given), "give-up")
+            self._loop.spawn(self._delete_job(attempt, on_cancelled), "give-up")
             return
-        given()
+        on_cancelled()
 
-    def _deleting(self, attempt: Attempt, given: Callable[[], None]) -> Coroutine[None]:
-        limit = self._settings.connect_timeout or GIVE_UP_TIME
+    def _delete_job(self, attempt: Attempt, on_cancelled: Callable[[], None]) -> Coroutine[None]:
+        limit = self._settings.connect_timeout or CANCEL_TIMEOUT_US
         target = b"/jobs/" + attempt.txn.encode()
-        pause = Backoff(FIRST_PAUSE, LONGEST_PAUSE, self._random)
-        outcome, _ = yield from self._asking(attempt.instance, b"DELETE", target, limit)
+        backoff = Backoff(FIRST_RETRY_DELAY_US, MAX_RETRY_DELAY_US, self._random)
+        outcome, _ = yield from self._exchange(attempt.instance, b"DELETE", target, limit)
         while outcome is Outcome.RESET or (outcome is not Outcome.OK and not self._settings.second_copies):
-            # A kept connection may be gone or silent, and what was written to it lost. One that has just come
-            # up surely carried it, even where the instance does not answer.
-            outcome, _ = yield from self._asking(attempt.instance, b"DELETE", target, limit, fresh=True)
+            # A kept connection may be closed or unresponsive, and the DELETE written to it lost. A connection
+            # opened for it has delivered it, even if the instance does not respond.
+            outcome, _ = yield from self._exchange(
+                attempt.instance, b"DELETE", target, limit, new_connection=True
+            )
             if outcome is Outcome.TIMEOUT or self._settings.second_copies or attempt.over:
                 break
-            # Guards against a second copy where none is allowed: an instance that can't be reached has not
-            # heard, and works on. The attempt ends with its word, or with its time.
+            # An instance that can't be reached has not received the DELETE and works on: where second copies
+            # are not allowed, none may start beside it. The attempt ends with the call-back of the instance,
+            # or when its time is up.
             if outcome is not Outcome.OK:
-                yield Wait(until=self._loop.now() + pause.failed())
-        given()
+                yield Wait(until=self._loop.now() + backoff.failed())
+        on_cancelled()
 
-    def _asking(
-        self, instance: WorkerId, method: bytes, target: bytes, limit: int, fresh: bool = False
+    def _exchange(
+        self, instance: WorkerId, method: bytes, target: bytes, limit: int, new_connection: bool = False
     ) -> Coroutine[tuple[Outcome, Message | None]]:
-        """A small request with its answer; with `fresh` on a new connection."""
+        """Send a request without a body and return its outcome and response.
+
+        With `new_connection` no kept connection is used.
+        """
         stream = None
         until, incarnation = self._loop.now() + limit, self._discovery.incarnation(instance)
         written = False
         try:
-            stream = None if fresh else self._kept(instance)
+            stream = None if new_connection else self._take_idle(instance)
             if stream is None:
                 stream = yield from self._open(instance)
-            yield from stream.send(self._frame(stream, instance, method, target, []), until)
+            yield from stream.send(self._request_bytes(stream, instance, method, target, []), until)
             written = True
             answer = yield from stream.response(until)
-            self._keep(instance, stream, incarnation)
+            self._put_idle(instance, stream, incarnation)
             stream = None
             return Outcome.OK, answer
         except ConnectionLimitReached:
@@ -410,21 +429,22 @@
             return Outcome.RESET if written else Outcome.CONNECT_FAILED, None
         finally:
             if stream is not None:
-                self._drop(stream)
+                self._close(stream)
 
     # Probes
 
     def probe(self, instance: WorkerId) -> None:
-        self._loop.spawn(self._probing(instance), "probe")
+        """Request the health or the load report of an instance; `probed` reports the outcome."""
+        self._loop.spawn(self._run_probe(instance), "probe")
 
-    def _probing(self, instance: WorkerId) -> Coroutine[None]:
+    def _run_probe(self, instance: WorkerId) -> Coroutine[None]:
         sent = self._loop.now()
         wants_load = self._settings.report_source is not ReportSource.NONE
         target = b"/-/load" if wants_load else b"/-/healthy"
-        outcome, answer = yield from self._asking(instance, b"GET", target, PROBE_TIME)
+        outcome, answer = yield from self._exchange(instance, b"GET", target, PROBE_TIMEOUT_US)
         report = None
         if outcome is Outcome.MOOT:
-            return  # it was not sent: nothing is known, and the instance is not to blame
+            return  # not sent for want of a connection, which says nothing about the instance
         if answer is not None:
             if answer.status == 200:
                 report = self.parse_report(instance, answer.body) if wants_load else None
@@ -433,7 +453,7 @@
         self.probed(instance, outcome, self._loop.now() - sent, report)
 
     def parse_report(self, instance: WorkerId, data: bytes) -> LoadReport | None:
-        """A load report, as `name=value,...` or as a JSON object; a spoilt one is one line in the log."""
+        """Parse a load report, `name=value,...` or a JSON object; logs an invalid one and returns None."""
         values: dict[str, object] = {}
         try:
             text = data.decode().strip()
@@ -444,39 +464,41 @@
                     name, _, value = pair.partition("=")
                     values[name.strip()] = float(value)
         except (ValueError, RecursionError):
-            spoilt(instance.decode(), data)
+            log_invalid_report(instance.decode(), data)
             return None
         return read_report(values, self._settings.report_names, instance.decode())
 
 
-def spoilt(instance: str, what: object) -> None:
-    """Guards whoever looks for the cause: without reports an instance stays at the floor of the draw."""
+def log_invalid_report(instance: str, report: object) -> None:
+    """Log an invalid load report, since an instance without reports keeps the lowest weight in the draw."""
     logger.bind(event="instance.spoilt_report", instance=instance).warning(
-        "instance {}: its load report is spoilt, which changes nothing: {:.80}", instance, repr(what)
+        "instance {}: ignoring an invalid load report: {:.80}", instance, repr(report)
     )
 
 
 def read_report(values: object, names: dict[str, str], instance: str) -> LoadReport | None:
-    """The load report in a parsed object, None for none; a spoilt value is passed over and told."""
+    """Return the load report in a parsed object, None if it has none.
+
+    `names` maps the names of the settings to attributes of the report. Invalid values are logged and ignored.
+    """
     if not isinstance(values, dict):
         if values is not None:
-            spoilt(instance, values)
+            log_invalid_report(instance, values)
         return None
     report = LoadReport()
-    unusable = []
+    invalid = []
     for name, value in values.items():
-        attribute = names.get(_SOCKET_NAMES.get(name, name))
+        attribute = names.get(_SETTINGS_NAME_BY_FIELD.get(name, name))
         if attribute is None:
             continue
         if isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < math.inf:
             setattr(report, attribute, float(value))
         else:
-            unusable.append(name)
-    if unusable:
-        spoilt(instance, {name: values[name] for name in unusable[:4]})
+            invalid.append(name)
+    if invalid:
+        log_invalid_report(instance, {name: values[name] for name in invalid[:4]})
     if not report.free_slots and (report.in_hand == 0 or report.busy == 0):
-        # Guards the first seconds: an instance that has taken no reading yet reports zeros throughout. Idle,
-        # by the jobs it holds or by its cores, and without a free slot contradicts itself, and taken for full
-        # it would be pushed nothing.
+        # In its first seconds, before it has measured anything, an instance reports only zeros. No free slot
+        # contradicts no jobs in hand or idle cores; taken for full, the instance would be pushed no jobs.
         return None
     return report
--- a/tests/net/test_deployments.py
+++ b/tests/net/test_deployments.py
@@ -71,7 +71,7 @@
     )
     scene.loop.until(lambda: scene.host._by_txn["t1"].attempts[0].nacked)
     assert worker(scene, "s-0").most == 0 and not scene.host.faults and not scene.loop.errors
-    assert len([line for line in logged if "s-0: its load report is spoilt" in line]) == 1
+    assert len([line for line in logged if "s-0: ignoring an invalid load report" in line]) == 1
     assert not client.pull()  # it is tried again
 
 
