--- a/tests/net/test_downstream.py
+++ b/tests/net/test_downstream.py
@@ -1,4 +1,4 @@
-"""Downstream: bad input, limits, stopping."""
+"""Client connections: invalid input, limits, shedding and shutdown."""
 
 from contextlib import suppress
 
@@ -58,7 +58,9 @@
         (GOOD.replace(b"Host: x", b"Host: x\r\nX-Big: " + b"x" * 20000), 431, True),
     ],
 )
-def test_bad_input_is_named_and_framing_errors_end_the_connection(data, answer, closes):
+def test_invalid_input_is_answered_with_an_error_and_framing_errors_close_the_connection(
+    data, answer, closes
+):
     scene = Scene()
     peer = scene.client()
     peer.send(data)
@@ -72,7 +74,7 @@
     assert not scene.host.open and not scene.loop.errors
 
 
-def test_unknown_labels_are_passed_over_and_a_client_may_wait_for_100():
+def test_unknown_labels_are_ignored_and_a_client_may_wait_for_100():
     scene = Scene()
     peer = scene.client()
     body = GOOD.replace(b"Length: 0", b"Length: 2\r\nExpect: 100-continue\r\nX-Labels: new=x,memory=2")
@@ -85,7 +87,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "hint"),
+    ("sent", "hint"),
     [
         (["2500"], 2500),
         ([], None),
@@ -97,19 +99,21 @@
         (["5", "6"], None),
     ],
 )
-def test_a_guess_of_the_work_reaches_the_decisions_and_a_spoilt_one_turns_nobody_away(told, hint, logged):
+def test_an_estimate_of_the_work_reaches_the_decisions_and_an_invalid_one_rejects_no_request(
+    sent, hint, logged
+):
     scene = Scene()
-    estimates = "".join(f"X-Estimate: {value}\r\n" for value in told)
+    estimates = "".join(f"X-Estimate: {value}\r\n" for value in sent)
     scene.client().send(
         "POST /read HTTP/1.1\r\nHost: api\r\nX-Txn: t1\r\nX-Remaining-Ms: 4000\r\n"
         f"{estimates}Content-Length: 0\r\n\r\n".encode()
     )
     scene.loop.until(lambda: scene.host.knows("t1"))
     assert scene.host._dispatcher.jobs[1].hint == hint
-    assert sum("estimate" in line for line in logged) == (1 if told and hint is None else 0)
+    assert sum("estimate" in line for line in logged) == (1 if sent and hint is None else 0)
 
 
-def test_an_id_that_is_being_worked_on_is_no_new_request():
+def test_a_request_with_an_id_in_progress_is_refused():
     scene = Scene()
     first = scene.ask()
     scene.runners["s-0"].accept().message()
@@ -118,7 +122,7 @@
     assert b" 200 " in first.message()[0]
 
 
-def test_where_there_is_no_room_the_refusal_says_when_to_come_back_and_calls_still_get_through():
+def test_at_the_limit_the_refusal_carries_retry_after_and_call_backs_are_still_accepted():
     scene = Scene(most_jobs=1)
     first = scene.ask()
     scene.runners["s-0"].accept().message()
@@ -135,7 +139,7 @@
         scene.runners["s-0"].accept().message()
         client.close()
         scene.loop.until(lambda: not scene.host.open)
-    assert scene.host.held == 2  # the attempts are still out
+    assert scene.host.held == 2  # the attempts are still running
     assert b" 503 " in scene.ask(txn="t9").message()[0]
 
 
@@ -149,11 +153,11 @@
     third.close()
 
 
-def test_silent_strangers_are_shed_before_known_clients_and_not_before_their_request_can_have_come():
-    # Guards usual clients and the instances' calls against hundreds that connect and say nothing.
+def test_silent_new_clients_are_shed_before_known_ones_and_not_while_a_request_may_be_in_transit():
+    # Hundreds of connections that send nothing must not keep out ordinary clients and the call-backs.
     scene = Scene(most=3)
-    idle, silent, begun = scene.known(), scene.client(), scene.client()
-    begun.send(GOOD[:30])
+    idle, silent, partial = scene.known(), scene.client(), scene.client()
+    partial.send(GOOD[:30])
     scene.loop.settle()
     third = scene.ask(txn="t3")
     scene.loop.settle()
@@ -161,10 +165,10 @@
     assert not scene.host.open and not silent.pull()
     scene.loop.skip(200_000)
     scene.loop.until(lambda: scene.host.open)
-    assert b" 503 " in silent.message()[0] and not begun.pull()
+    assert b" 503 " in silent.message()[0] and not partial.pull()
     fourth = scene.ask(txn="t4")
     scene.loop.until(lambda: scene.host.open == 2)
-    head = begun.message()[0]
+    head = partial.message()[0]
     assert b" 503 " in head and b"Retry-After" in head
     for peer in (third, fourth, idle):
         peer.close()
@@ -174,36 +178,36 @@
     "sent",
     [b"", GOOD[:30], GOOD.replace(b"Length: 0", b"Length: 9") + b"x", GOOD.replace(b"/read", b"/other")],
 )
-def test_a_stranger_gets_an_error_within_three_seconds_and_a_known_client_keeps_its_idle_time(sent):
+def test_a_new_client_gets_an_error_within_three_seconds_and_a_known_one_keeps_its_idle_time(sent):
     scene = Scene()
-    idle, stranger = scene.known(), scene.client()
+    idle, new_client = scene.known(), scene.client()
     if sent:
-        stranger.send(sent)
+        new_client.send(sent)
     scene.loop.settle()
     scene.loop.skip(2_900_000)
     statuses = [b" 404 "] if b"/other" in sent else []
     for status in [*statuses, b" 408 "]:
-        assert status in stranger.message()[0]
-    scene.loop.until(lambda: stranger.pull() is not None and stranger.ended)
+        assert status in new_client.message()[0]
+    scene.loop.until(lambda: new_client.pull() is not None and new_client.ended)
     scene.loop.skip(30 * SECOND)
     idle.send(READY)
     assert b" 200 " in idle.message()[0]
 
 
-def test_one_client_that_sends_request_after_request_gets_one_a_turn():
+def test_a_client_that_pipelines_requests_gets_one_per_turn():
     scene = Scene()
-    greedy = scene.known()
-    greedy.send(READY * 50)
+    pipelining = scene.known()
+    pipelining.send(READY * 50)
     scene.loop.turn(0.1)
-    assert greedy.pull().count(b" 200 ") <= 2
-    scene.loop.until(lambda: greedy.pull().count(b" 200 ") == 50)
+    assert pipelining.pull().count(b" 200 ") <= 2
+    scene.loop.until(lambda: pipelining.pull().count(b" 200 ") == 50)
 
 
-def test_requests_beyond_the_memory_are_turned_away_and_what_is_answered_counts_no_more():
+def test_requests_beyond_the_memory_limit_are_rejected_and_answered_ones_are_no_longer_counted():
     scene = Scene()
     scene.ledger.most = 1000
     first, second = (scene.ask(txn=txn, body=b"x" * 700) for txn in ("t1", "t2"))
-    scene.loop.until(lambda: scene.host.open == 2)  # whole requests are served; nothing more is read
+    scene.loop.until(lambda: scene.host.open == 2)  # complete requests are served, but nothing more is read
     third = scene.client()
     third.send(GOOD[:30])
     head = third.message()[0]
@@ -219,7 +223,7 @@
     listener = scene.clients.listener.sock
     calls = []
 
-    class Poor:
+    class FailingSocket:
         fileno = listener.fileno
 
         def accept(self):
@@ -229,17 +233,17 @@
             return listener.accept()
 
     scene.clients.listener.task.cancel()
-    scene.loop.spawn(scene.clients.listener.accept_connections(Poor()), "listener")
+    scene.loop.spawn(scene.clients.listener.accept_connections(FailingSocket()), "listener")
     client = scene.ask()
     scene.loop.settle()
-    assert len(calls) == 1  # it does not spin
+    assert len(calls) == 1  # the accept loop does not spin
     scene.loop.skip(SECOND)
     scene.loop.until(lambda: scene.host.open)
     client.close()
 
 
-def test_after_sigterm_it_serves_kept_connections_answers_in_time_and_leaves():
-    # Guards the clients whose only other dispatcher restarts at the same time.
+def test_after_sigterm_kept_connections_are_served_all_are_answered_in_time_and_the_loop_stops():
+    # Clients need this if the only other dispatcher restarts at the same time.
     scene = Scene(instances=3)
 
     def done(txn):
@@ -255,7 +259,7 @@
     scene.loop.skip(SECOND)
     done("t1")
     assert b"connection: close" not in kept.message()[0].lower()
-    scene.ask(txn="t3", peer=kept, remaining=5000)  # SIGKILL may come 3.7 s after SIGTERM: too early for it
+    scene.ask(txn="t3", peer=kept, remaining=5000)  # more than the 3.7 s until SIGKILL
     scene.loop.until(lambda: scene.host.knows("t3"))
     scene.loop.skip(SECOND // 2)
     assert not idle.pull() and not idle.ended
@@ -264,7 +268,9 @@
     scene.loop.skip(SECOND + 100_000)
     head, _ = kept.message()
     assert b" 503 " in head and b"connection: close" in head.lower()
-    assert scene.host.open == 1 and not scene.loop.stopped  # t2 came in time and may go on
+    assert (
+        scene.host.open == 1 and not scene.loop.stopped
+    )  # t2 arrived before the shutdown began and continues
     done("t2")
     head, body = early.message()
     assert b" 200 " in head and b"connection: close" in head.lower() and body == b"r"
@@ -290,7 +296,7 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.binary(max_size=60) | st.text(max_size=60).map(lambda t: t.encode("utf-8", "surrogatepass")))
-def test_garbage_raises_nothing_but_what_is_answered_with_400(data):
+def test_garbage_raises_only_errors_that_are_answered_with_400(data):
     for attempt in (
         lambda: read_call(data, SETTINGS),
         lambda: read_labels(data),
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -1,4 +1,4 @@
-"""The framing: random cuts of valid messages, random garbage, limits; and the loop beneath."""
+"""HTTP framing with randomly split messages and garbage, limits, and the event loop."""
 
 import os
 import socket
@@ -22,11 +22,11 @@
     b"2\r\nab\r\n3;x=y\r\n\r\nc\r\n0\r\n\r\n"
 )
 RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\nok"
-CUTS = st.lists(st.integers(1, 120), max_size=12)
+SPLITS = st.lists(st.integers(1, 120), max_size=12)
 
 
 def parse(server, pieces, end=False):
-    """What a stream makes of the pieces, each read on its own."""
+    """Return the messages or errors of a stream that reads the pieces one by one."""
     loop = StillLoop()
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
@@ -56,23 +56,23 @@
     return result
 
 
-def cut(data, places):
-    at = sorted({p % len(data) for p in places} | {0, len(data)})
+def split(data, positions):
+    at = sorted({p % len(data) for p in positions} | {0, len(data)})
     return [data[a:b] for a, b in pairwise(at)]
 
 
 @FIXED
-@given(st.sampled_from([REQUEST, CHUNKED]), CUTS)
-def test_a_request_is_the_same_however_it_is_cut(data, places):
-    (message,) = parse(True, cut(data, places))
+@given(st.sampled_from([REQUEST, CHUNKED]), SPLITS)
+def test_a_request_is_the_same_however_it_is_cut(data, positions):
+    (message,) = parse(True, split(data, positions))
     assert (message.method, message.target, message.body) == (b"POST", b"/read?k=1", b"ab\r\nc")
     assert message.single_header(b"x-txn") == b"t"
 
 
 @FIXED
-@given(CUTS)
-def test_an_answer_is_the_same_however_it_is_cut(places):
-    (message,) = parse(False, cut(RESPONSE, places))
+@given(SPLITS)
+def test_an_answer_is_the_same_however_it_is_cut(positions):
+    (message,) = parse(False, split(RESPONSE, positions))
     assert (message.status, message.body) == (202, b"ok")
 
 
@@ -106,7 +106,7 @@
     loop.until(lambda: done)
 
 
-def test_writing_to_a_closed_peer_and_connecting_to_nobody_are_broken():
+def test_writing_to_a_closed_peer_and_connecting_to_a_closed_port_fail():
     loop = StillLoop()
     ours, theirs = socket.socketpair()
     theirs.close()
@@ -119,9 +119,9 @@
             seen.append(type(exc))
 
     loop.spawn(trying(Stream(loop, BufferPool(), ours, True).send(b"x", None)), "send")
-    nobody = socket.create_server(("127.0.0.1", 0))
-    address = nobody.getsockname()
-    nobody.close()
+    server = socket.create_server(("127.0.0.1", 0))
+    address = server.getsockname()
+    server.close()
     loop.spawn(trying(connect(loop, BufferPool(), address, loop.now() + SECOND)), "connect")
     loop.until(lambda: len(seen) == 2)
     assert seen == [ConnectionFailed, ConnectionFailed]
@@ -141,7 +141,7 @@
     many = [loop.call_at(loop.now() + SECOND, lambda: seen.append("never")) for _ in range(1000)]
     for timer in many:
         timer.cancel()
-    assert len(loop._timers) < 600  # the heap doesn't keep what is cancelled
+    assert len(loop._timers) < 600  # cancelled timers are removed from the heap
     loop.skip(2 * SECOND)
     assert seen == [10, 30]
 
@@ -174,7 +174,7 @@
 
 
 def test_the_log_neither_blocks_on_a_full_pipe_nor_floods():
-    # Guards against a log reader that stands still: the dispatcher must not stop with it.
+    # A stalled reader of the log must not stall the dispatcher.
     source, sink = os.pipe()
     write = Sink(sink)
     for _ in range(1000):
--- a/tests/net/test_instance.py
+++ b/tests/net/test_instance.py
@@ -1,4 +1,4 @@
-"""Load reports, and attempts against scripted instances on loopback."""
+"""Load reports, and attempts at scripted instances on loopback."""
 
 import socket
 
@@ -18,9 +18,9 @@
         ({"q": 2, "rif": 3, "x0": 1, "new": 9}, LoadReport(free_slots=1, in_hand=3, queued=2)),
         ({"x0": float("nan"), "inflight": True}, LoadReport()),
         ({"x0": -3, "queue": 1}, LoadReport(queued=1)),
-        # A reading that has not been taken yet: no report, or the instance would seem full.
+        # Nothing is measured yet: taken for a report, this would make the instance seem full.
         ({"queue": 0, "inflight": 0, "x0": 0}, None),
-        ({"util": 0, "queue": 0, "qps": 0, "x0": 0}, None),  # the same where jobs in hand are not told
+        ({"util": 0, "queue": 0, "qps": 0, "x0": 0}, None),  # likewise without the jobs in hand
         ({"util": 0.9, "queue": 0, "qps": 0, "x0": 0}, LoadReport(free_slots=0, queued=0, busy=0.9, rate=0)),
         ([], None),
     ],
@@ -33,7 +33,7 @@
     scene.call(**{"id": txn, "from": "s-0", "state": "done", "result": "r"})
     assert b" 200 " in client.message()[0]
     scene.loop.settle()
-    scene.loop.skip(60 * MS)  # what may not be repeated goes on no connection that has just had an answer
+    scene.loop.skip(60 * MS)  # non-repeatable requests wait until a kept connection has been silent
 
 
 def served_once(scene):
@@ -45,14 +45,14 @@
     return client, runner
 
 
-@pytest.mark.parametrize("way", ["closed", "idle for long", "spoken out of turn"])
-def test_a_kept_connection_that_may_break_is_not_used_again(way):
-    # Guards against resets: a request written to a connection that its instance has closed may have run.
+@pytest.mark.parametrize("state", ["closed", "idle for long", "unsolicited response"])
+def test_a_kept_connection_that_may_break_is_not_used_again(state):
+    # A request on a connection that its instance has closed ends as a reset, and it may have run.
     scene = Scene()
     client, runner = served_once(scene)
-    if way == "closed":
+    if state == "closed":
         runner.close()
-    elif way == "spoken out of turn":
+    elif state == "unsolicited response":
         runner.send(b"HTTP/1.1 408 Late\r\n\r\n")
     else:
         scene.loop.skip(3600 * MS)  # the instance may close it after 5 s
@@ -74,8 +74,9 @@
     assert scene.runners["s-0"].untouched()
 
 
-def test_after_a_kept_connection_broke_charges_go_on_new_ones_and_the_instance_is_not_doubted():
-    # Guards against instances that close idle connections early, and against doubting live ones for it.
+def test_after_a_kept_connection_failed_charges_use_new_ones_and_the_instance_is_not_suspected():
+    # Instances may close idle connections early: requests must not fail on them, nor live instances be
+    # suspected for it.
     scene = Scene()
     client, runner = served_once(scene)
     scene.ask("/charge", txn="t2", peer=client)
@@ -91,7 +92,7 @@
         fresh.send(TAKEN)
         finish(scene, client, txn)
     scene.loop.skip(11 * SECOND)
-    for txn in ("t5", "t6"):  # trust comes back
+    for txn in ("t5", "t6"):  # kept connections are used again
         scene.ask("/charge", txn=txn, peer=client)
         runner = scene.runners["s-0"].accept() if txn == "t5" else runner
         assert f"X-Txn: {txn}".encode() in runner.message()[0]
@@ -104,11 +105,11 @@
     client = scene.client()
     scene.loop.settle()
 
-    def none_left(*args):
+    def no_descriptor(*args):
         raise OSError(24, "Too many open files")
 
     with monkeypatch.context() as patch:
-        patch.setattr(socket, "socket", none_left)
+        patch.setattr(socket, "socket", no_descriptor)
         scene.ask("/charge", peer=client)
         scene.loop.until(lambda: scene.host.open)
         scene.loop.settle()
@@ -118,7 +119,7 @@
     assert b"X-Txn: t1" in scene.runners["s-0"].accept().message()[0]
 
 
-def test_the_budget_of_connections_is_kept_and_idle_ones_make_room():
+def test_the_connection_limit_is_kept_and_idle_connections_are_closed_for_new_ones():
     scene = Scene(instances=2)
     scene.instances._max_connections = 1
     open_at, seen = {}, []
--- a/tests/net/test_sizes.py
+++ b/tests/net/test_sizes.py
@@ -1,4 +1,4 @@
-"""1,024 instances with long names: over a watch, as a whole list, from one process to the next."""
+"""1,024 instances with long names: over a watch, as a complete list, and in a hand-over."""
 
 import json
 
@@ -12,36 +12,39 @@
 __all__ = ["old"]  # a fixture
 
 COUNT = 1024
-LONG = 240  # characters that make a name as long as one of DNS, beside what tells it from the others
+# Characters that make a name about as long as a DNS name, besides the part that makes it unique.
+NAME_LENGTH = 240
 
 
 def long_list(scene: Scene, revision: int = 2) -> dict:
-    """So many instances at the address of the scene's first, with long names for all that has one."""
+    """List COUNT instances at the address of the scene's first one, with long names in every field."""
     (one,) = scene.table("s-0", revision=revision)["members"]
-    one |= {"locality": "a" * LONG, "flavor": "f" * LONG}
-    members = [{**one, "id": f"{'é' * LONG}-{number}"} for number in range(COUNT)]
+    one |= {"locality": "a" * NAME_LENGTH, "flavor": "f" * NAME_LENGTH}
+    members = [{**one, "id": f"{'é' * NAME_LENGTH}-{number}"} for number in range(COUNT)]
     return {"revision": revision, "complete": True, "members": members}
 
 
 @pytest.mark.parametrize("indent", [None, 8])
-def test_a_watch_takes_a_list_of_1024_with_long_names(indent):
+def test_a_watch_accepts_a_list_of_1024_with_long_names(indent):
     scene = Scene()
     scene.discovery.watch(True)
     peer = scene.discovery_peer.accept()
     peer.message()
-    word = json.dumps(long_list(scene), indent=indent).encode() + b"\n"
+    update = json.dumps(long_list(scene), indent=indent).encode() + b"\n"
     send(
         scene,
         peer,
         CHUNKS
-        + b"".join(chunk(word[at : at + BODY_LIMIT_BYTES]) for at in range(0, len(word), BODY_LIMIT_BYTES)),
+        + b"".join(
+            chunk(update[at : at + BODY_LIMIT_BYTES]) for at in range(0, len(update), BODY_LIMIT_BYTES)
+        ),
     )
     scene.loop.until(lambda: scene.discovery.version == 2)
     assert scene.discovery.size == COUNT
     assert scene.shown()["cluster_size"] == COUNT
 
 
-def test_the_whole_list_of_1024_with_long_names_is_taken():
+def test_a_complete_list_of_1024_with_long_names_is_accepted():
     scene = Scene()
     scene.discovery.fetch()
     peer = scene.discovery_peer.accept()
@@ -55,8 +58,8 @@
 def test_1024_instances_go_from_one_process_to_the_next(old):
     old.discovery.tell(old.discovery.list.take(long_list(old), cached=False))
     rules = old.host._dispatcher
-    doubted = f"{'é' * LONG}-{COUNT - 1}".encode()
-    rules.doubt(rules.workers[doubted])
+    suspected = f"{'é' * NAME_LENGTH}-{COUNT - 1}".encode()
+    rules.doubt(rules.workers[suspected])
     new: Process = old.next()
     passing(old, lambda: new.discovery.size == COUNT)
     assert new.discovery.version == 2
@@ -64,7 +67,7 @@
 
 
 def send(scene, peer, data):
-    """Send what is more than a socket's buffer takes, while the scene reads."""
+    """Send more than the buffer of a socket holds, while the scene reads."""
     rest = memoryview(data)
     while rest:
         try:
