--- a/pulleyroute/net/downstream.py
+++ b/pulleyroute/net/downstream.py
@@ -348,7 +348,7 @@
                     yield from self._respond(stream, exc.status, str(exc).encode(), advice, close=True)
                     going = False
                 except DeadlineExceeded:
-                    yield from self._respond(stream, 408, b"the request did not arrive in time", close=True)
+                    yield from self._respond(stream, 408, b"the request did not come in time", close=True)
                     going = False
                 connection.processing = True
                 if going and not stream.at_message_start and connection.task is not None:
@@ -446,9 +446,7 @@
             elif not (yield from self.forward_callback(call, message.body)):
                 # The other process has not acknowledged the call-back: the instance has to send it again, or
                 # the job would never end.
-                return (
-                    yield from self._respond(stream, 503, b"the process that holds the job does not answer")
-                )
+                return (yield from self._respond(stream, 503, b"the holder of the job does not answer"))
             return (yield from self._respond(stream, 204))
         job_class = self._classes.get(path[1:].partition(b"/")[0]) if path.startswith(b"/") else None
         if job_class is None:
@@ -460,7 +458,7 @@
         except (ValueError, Malformed) as exc:
             return (yield from self._respond(stream, 400, str(exc).encode()))
         if self._host.has_request(request.txn) or request.txn in self.predecessor_ids:
-            return (yield from self._respond(stream, 409, b"a request with this id is in progress"))
+            return (yield from self._respond(stream, 409, b"a request of this id is being worked on"))
         connection.known = True
         name = self._settings.classes[job_class].name
         if (
@@ -538,7 +536,7 @@
     Ending.SERVED: lambda answer: (200, answer.result, []),
     Ending.REFUSED: _refused_response,
     Ending.FAILED: lambda answer: (502, b"failed", []),
-    Ending.REJECTED: lambda answer: (400, b"rejected by an instance", []),
+    Ending.REJECTED: lambda answer: (400, b"no instance can use it", []),
 }
 
 
@@ -551,9 +549,9 @@
     """Parse the request of a client; raises ValueError or Malformed if it is invalid."""
     txn, remaining = message.single_header(b"x-txn"), message.single_header(b"x-remaining-ms")
     if txn is None or not _TXN_PATTERN.fullmatch(txn):
-        raise ValueError("X-Txn is missing or not a valid id")
+        raise ValueError("X-Txn is missing or not an id")
     if remaining is None or not _WHOLE_NUMBER.fullmatch(remaining):
-        raise ValueError("X-Remaining-Ms is missing or not a whole number of milliseconds")
+        raise ValueError("X-Remaining-Ms is missing or not whole milliseconds")
     labels = read_labels(message.single_header(b"x-labels") or b"")
     pairs = dict(parse_qsl(message.target.partition(b"?")[2].decode("latin-1"), keep_blank_values=True))
     return Request(
@@ -610,7 +608,7 @@
     try:
         value = json.loads(data)
     except RecursionError:
-        raise ValueError("JSON is nested too deeply") from None
+        raise ValueError("nested too deep") from None
     if not isinstance(value, dict):
         raise ValueError("not a JSON object")
     txn, instance = value.get("id"), value.get("from")
@@ -619,7 +617,7 @@
     state = CallbackState(value.get("state"))
     result, share = value.get("result"), value.get("share", 0.0)
     if state is CallbackState.DONE and not isinstance(result, str):
-        raise ValueError("state is done, but result is not a string")
+        raise ValueError("done without a result")
     if isinstance(share, bool) or not isinstance(share, int | float):
         raise ValueError("share is not a number")
     return InstanceCallback(
--- a/pulleyroute/net/http.py
+++ b/pulleyroute/net/http.py
@@ -210,7 +210,7 @@
                 return event
             if self._ledger is not None and self._ledger.full:
                 # The process is killed if it exceeds its memory limit.
-                raise Malformed(503, "not enough memory to read the request")
+                raise Malformed(503, "no memory for more")
             if self._h11.they_are_waiting_for_100_continue:
                 head = self._h11.send(h11.InformationalResponse(status_code=100, headers=[]))
                 yield from self.send(head or b"", until)
@@ -249,7 +249,7 @@
         if len(lengths) > 1 or any(b"," in value for value in lengths) or _FOLDED_LINE.search(head):
             # Prevents request smuggling: h11 prefers chunked coding to a Content-Length, merges equal lengths
             # and unfolds lines, while the sender may have meant another end of the body.
-            raise Malformed(400, "the length of the body is given more than once, or a header line is folded")
+            raise Malformed(400, "the end of the body is named twice, or a line is folded")
         self._answers_head_request = event.method == b"HEAD"
         message = Message(list(event.headers), b"", event.method, event.target)
         size = len(event.target) + sum(len(name) + len(value) + 4 for name, value in event.headers)
--- a/pulleyroute/net/http2.py
+++ b/pulleyroute/net/http2.py
@@ -528,13 +528,13 @@
                 if self.closed:
                     return
                 if not self.ready and now - self._started_at >= HANDSHAKE_TIMEOUT_US:
-                    raise ConnectionFailed("no SETTINGS frame in time")
+                    raise ConnectionFailed("no settings in time")
                 if (
                     self._outbox
                     and self._write_blocked_since
                     and now - self._write_blocked_since >= WRITE_TIMEOUT_US
                 ):
-                    raise ConnectionFailed("the peer reads nothing")
+                    raise ConnectionFailed("the peer takes nothing")
                 if (
                     not self._streams
                     and not self._outbox
@@ -555,7 +555,7 @@
             why = str(exc)
             self.close(why, Code.ENHANCE_YOUR_CALM)
         except h2.exceptions.ProtocolError as exc:
-            why = f"HTTP/2 protocol error: {exc}"
+            why = f"not HTTP/2 as agreed: {exc}"
             with contextlib.suppress(OSError, ConnectionFailed):
                 self._write()  # h2 has built the GOAWAY with the error code
         except (ConnectionFailed, OSError) as exc:
@@ -603,7 +603,7 @@
         if self._server or not self.limits.ping_after or not self._streams:
             self._ping_sent_at = 0
         elif self._ping_sent_at and now - self._ping_sent_at > self.limits.ping_timeout:
-            raise ConnectionFailed("no answer to a PING")
+            raise ConnectionFailed("no answer to a ping")
         elif not self._ping_sent_at and now - self._last_read_at > self.limits.ping_after:
             self._ping_sent_at = now
             self._h2.ping(b"pulleyrt")
@@ -639,7 +639,7 @@
         try:
             items = self._merger.feed(data)
         except FrameTooLong:
-            self.close("a frame is longer than allowed", Code.FRAME_SIZE_ERROR)
+            self.close("a frame is longer than was allowed", Code.FRAME_SIZE_ERROR)
             return
         plain = len(data) < self._pool.size // 2
         for item in items:
@@ -763,7 +763,7 @@
         if valid_headers(headers, pseudo):
             return True
         self.reset(stream, Code.PROTOCOL_ERROR)
-        stream.handler.aborted(int(Code.PROTOCOL_ERROR), False, "malformed header section")
+        stream.handler.aborted(int(Code.PROTOCOL_ERROR), False, "a header out of form")
         return False
 
     def _on_ended(self, event: h2.events.StreamEnded) -> None:
@@ -814,7 +814,7 @@
             return
         for stream in [s for s in self._streams.values() if s.id > last]:
             self._drop(stream)  # above the last identifier: the peer has not processed it
-            stream.handler.aborted(None, True, "above the last stream identifier of a GOAWAY")
+            stream.handler.aborted(None, True, "above the last stream of a GOAWAY")
         self._ending = True
 
     # Writing
