--- a/pulleyroute/net/http2.py
+++ b/pulleyroute/net/http2.py
@@ -519,7 +519,7 @@
             self._h2.increment_flow_control_window(CONNECTION_WINDOW)
             while True:
                 self._in_step = True
-                if woken is not WaitResult.WOKEN:  # a nudge means that there is something to send
+                if woken is not WaitResult.WOKEN:  # a wake-up means that there is something to send
                     self._read()
                 self._frame_pending()
                 self._write()
@@ -596,7 +596,7 @@
         return None
 
     def _check_ping(self, now: int) -> None:
-        """Send a PING after silence; raises Broken if the last one was not answered in time.
+        """Send a PING after silence; raises ConnectionFailed if the last one was not answered in time.
 
         If the machine of the peer vanishes, TCP alone does not notice, and its streams would never end.
         """
