--- a/pulleyroute/cli/check.py
+++ b/pulleyroute/cli/check.py
@@ -10,7 +10,7 @@
 import msgspec
 import typer
 
-from pulleyroute.config import Invalid, load
+from pulleyroute.config import InvalidConfig, load
 
 HELP = "Check a configuration without starting anything; every mistake is told at once."
 EXAMPLES = "Examples:\n\n`pulleyroute check site.hcl`\n\n`pulleyroute check --json site.hcl`"
@@ -22,7 +22,7 @@
 ) -> None:
     try:
         config = load(file)
-    except Invalid as exc:
+    except InvalidConfig as exc:
         if as_json:
             problems = [
                 {name: getattr(each, name) for name in ("file", "line", "key", "expected", "found", "near")}
--- a/pulleyroute/cli/fleet.py
+++ b/pulleyroute/cli/fleet.py
@@ -28,7 +28,7 @@
 
 def ask(path: Path, what: Callable[[Operator], Coroutine[T]]) -> T:
     """Do one thing on the store that the configuration names; ends with one plain line where it can't be."""
-    from pulleyroute.config import Invalid, load
+    from pulleyroute.config import InvalidConfig, load
     from pulleyroute.fleet.records import Refused
     from pulleyroute.fleet.store import Client, Lost, Turned
     from pulleyroute.net.buffers import BufferPool
@@ -36,7 +36,7 @@
 
     try:
         config = load(path)
-    except Invalid as exc:
+    except InvalidConfig as exc:
         print(exc, file=sys.stderr)
         raise typer.Exit(2) from None
     if config.fleet is None:
--- a/pulleyroute/cli/release.py
+++ b/pulleyroute/cli/release.py
@@ -21,12 +21,12 @@
 
 
 def _plan(path: Path) -> Plan:
-    from pulleyroute.config import Invalid
+    from pulleyroute.config import InvalidConfig
     from pulleyroute.config.plan import load_plan
 
     try:
         return load_plan(path)
-    except Invalid as exc:
+    except InvalidConfig as exc:
         print(exc, file=sys.stderr)
         raise typer.Exit(2) from None
 
--- a/pulleyroute/cli/serve.py
+++ b/pulleyroute/cli/serve.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from pulleyroute import __version__
-from pulleyroute.config import Config, Invalid, load
+from pulleyroute.config import Config, InvalidConfig, load
 from pulleyroute.net import log
 from pulleyroute.net.loop import Loop
 from pulleyroute.net.process import catch_signals, handle_signals, on_error
@@ -36,7 +36,7 @@
 ) -> None:
     try:
         made = load(config)
-    except Invalid as exc:
+    except InvalidConfig as exc:
         print(exc, file=sys.stderr)
         raise typer.Exit(2) from None
     level = log_level or (made.log.level if made.log is not None else "info")
@@ -88,7 +88,7 @@
     try:
         config = load(path)
         made = service.apply(config)
-    except (Invalid, CannotServe) as exc:
+    except (InvalidConfig, CannotServe) as exc:
         service.metrics.conf_invalid += 1
         for line in str(exc).splitlines():
             logger.bind(event="config.refused").error("configuration not read again: {}", line)
--- a/pulleyroute/config/__init__.py
+++ b/pulleyroute/config/__init__.py
@@ -6,14 +6,14 @@
 
 from pulleyroute.config.build import pool_settings
 from pulleyroute.config.load import load
-from pulleyroute.config.problems import Invalid, Problem
+from pulleyroute.config.problems import InvalidConfig, Problem
 from pulleyroute.config.types import Config, Fleet, Instance, JobClass, Listener, Pool, Route
 
 __all__ = [
     "Config",
     "Fleet",
     "Instance",
-    "Invalid",
+    "InvalidConfig",
     "JobClass",
     "Listener",
     "Pool",
--- a/pulleyroute/config/build.py
+++ b/pulleyroute/config/build.py
@@ -59,7 +59,7 @@
     )
 
 
-def known_list(pool: Pool, revision: int) -> dict[str, Any]:
+def static_instance_list(pool: Pool, revision: int) -> dict[str, Any]:
     """The instances that the file names, in discovery's form."""
     return {
         "revision": revision,
--- a/pulleyroute/config/load.py
+++ b/pulleyroute/config/load.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from pulleyroute.config.problems import Invalid, Problem
+from pulleyroute.config.problems import InvalidConfig, Problem
 from pulleyroute.config.tree import Attribute, Block, parse
 from pulleyroute.config.types import Config, Reader, Strict
 from pulleyroute.grpc.routes import Match, Routes
@@ -26,27 +26,27 @@
 
 
 def load(path: str | Path) -> Config:
-    """The configuration in a file; raises `Invalid`, which names every mistake with its line."""
+    """The configuration in a file; raises `InvalidConfig`, which names every mistake with its line."""
     return read(path, Config)
 
 
 def read(path: str | Path, kind: type[S]) -> S:
-    """A file's blocks as one object of a kind; raises `Invalid`."""
+    """A file's blocks as one object of a kind; raises `InvalidConfig`."""
     file = str(path)
     try:
         text = Path(path).read_text()
     except OSError as exc:
-        raise Invalid(
+        raise InvalidConfig(
             [Problem(file, 1, "file", "a readable file", (exc.strerror or "error").lower())]
         ) from None
     except UnicodeDecodeError:
-        raise Invalid([Problem(file, 1, "file", "UTF-8 text", "something else")]) from None
+        raise InvalidConfig([Problem(file, 1, "file", "UTF-8 text", "something else")]) from None
     reading = _Reading(file)
     whole = reading.block(parse(text, file), kind, "")
     if isinstance(whole, Config):
         reading.across(whole)
     if reading.problems or not isinstance(whole, kind):
-        raise Invalid(reading.problems)
+        raise InvalidConfig(reading.problems)
     return whole
 
 
--- a/pulleyroute/config/plan.py
+++ b/pulleyroute/config/plan.py
@@ -6,7 +6,7 @@
 from typing import Annotated, Literal
 
 from pulleyroute.config.load import read
-from pulleyroute.config.problems import Invalid, Problem
+from pulleyroute.config.problems import InvalidConfig, Problem
 from pulleyroute.config.types import Count, ListOf, Name, PartOf, Positive, Strict, Time
 from pulleyroute.fleet.drains import Part
 from pulleyroute.fleet.release import Plan
@@ -31,10 +31,10 @@
 
 
 def load_plan(path: str | Path) -> Plan:
-    """The plan in a file; raises `Invalid`."""
+    """The plan in a file; raises `InvalidConfig`."""
     file = read(path, PlanFile)
     if len(file.release) != 1:
-        raise Invalid([Problem(str(path), 1, "release", "one block of it", f"{len(file.release)}")])
+        raise InvalidConfig([Problem(str(path), 1, "release", "one block of it", f"{len(file.release)}")])
     ((name, block),) = file.release.items()
     return Plan(
         name,
--- a/pulleyroute/config/problems.py
+++ b/pulleyroute/config/problems.py
@@ -25,7 +25,7 @@
         return text
 
 
-class Invalid(Exception):
+class InvalidConfig(Exception):
     """A configuration that can't be used, with all its mistakes in the order of their lines."""
 
     def __init__(self, problems: list[Problem]) -> None:
--- a/pulleyroute/config/tree.py
+++ b/pulleyroute/config/tree.py
@@ -13,7 +13,7 @@
 from lark import Token, Tree
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput
 
-from pulleyroute.config.problems import Invalid, Problem
+from pulleyroute.config.problems import InvalidConfig, Problem
 
 
 @dataclass(slots=True)
@@ -41,11 +41,11 @@
 
 
 def parse(text: str, file: str) -> Block:
-    """The file as one block without a name; raises `Invalid`."""
+    """The file as one block without a name; raises `InvalidConfig`."""
     try:
         tree = hcl2.parses_to_tree(text if text.endswith("\n") else text + "\n")
     except UnexpectedEOF:
-        raise Invalid(
+        raise InvalidConfig(
             [Problem(file, text.count("\n") + 1, "syntax", "more: the file ends too early")]
         ) from None
     except UnexpectedInput as exc:
@@ -55,14 +55,14 @@
             token = getattr(exc, "token", None)
             ends = token is None or token.type == "$END"
             found = "the end of the file" if ends else repr(str(token).strip() or "the end of the line")
-        raise Invalid(
+        raise InvalidConfig(
             [Problem(file, line, "syntax", 'HCL: `key = value` or `kind "name" { ... }`', found)]
         ) from None
     problems: list[Problem] = []
     root = Block("", [], 1)
     _fill(root, tree.children[0], file, "", problems)
     if problems:
-        raise Invalid(problems)
+        raise InvalidConfig(problems)
     return root
 
 
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from pulleyroute.config import Config, Listener, Pool, pool_settings
-from pulleyroute.config.build import known_list
+from pulleyroute.config.build import static_instance_list
 from pulleyroute.config.types import ListenerLimits
 from pulleyroute.fleet.runners import Runner
 from pulleyroute.grpc import Calls, Front, FrontLimits, Match, Routes
@@ -32,7 +32,7 @@
 from pulleyroute.net.process import ensure_descriptors
 from pulleyroute.net.tls import CertificateFiles, client_context, server_context
 from pulleyroute.service.changes import Plan, plan
-from pulleyroute.service.withheld import FleetHost, Withheld
+from pulleyroute.service.withheld import FleetHost, WithheldInstances
 
 NOWHERE = ("127.0.0.1", 1)  # a static pool asks no discovery
 RESERVE = 32  # descriptors for the listeners and the process itself
@@ -55,7 +55,7 @@
     discovery: DiscoveryClient
     host: FleetHost
     back: Calls | Instances
-    withheld: Withheld
+    withheld: WithheldInstances
     revision: int = 1
 
 
@@ -172,7 +172,9 @@
         """Give these instances, each of a pool, nothing new from now on, and no others."""
         self._marked = marked
         for name, running in self.pools.items():
-            running.withheld.set(frozenset(WorkerId(each.encode()) for pool, each in marked if pool == name))
+            running.withheld.withhold(
+                frozenset(WorkerId(each.encode()) for pool, each in marked if pool == name)
+            )
 
     def busy(self, pool: str, runner: str) -> bool:
         """Whether anything of this process is out there, also of a pool that a reload has replaced."""
@@ -289,11 +291,11 @@
         host = FleetHost(self._loop, settings, self._random.getrandbits(64), discovery, back)
         if isinstance(back, Calls):
             back.host = host
-        withheld = Withheld(host.post)
-        discovery.on_update = withheld.hear
+        withheld = WithheldInstances(host.post)
+        discovery.on_update = withheld.on_list_update
         running = Running(pool, settings, discovery, host, back, withheld)
         if pool.instance:
-            discovery.load_known(known_list(pool, running.revision))
+            discovery.load_known(static_instance_list(pool, running.revision))
         else:
             discovery.load_known({"revision": 0, "complete": True, "members": []})
             # At once: the decisions would ask within 2.5 s, spread for the sake of many that start together,
@@ -305,7 +307,7 @@
         """A pool that stays: its instances, its discovery, its certificates."""
         if pool.instance and pool.instance != running.pool.instance:
             running.revision += 1
-            running.discovery.load_known(known_list(pool, running.revision))
+            running.discovery.load_known(static_instance_list(pool, running.revision))
         if pool.discovery is not None and pool.discovery != running.pool.discovery:
             running.discovery.set_address(pool.discovery)
         if isinstance(running.back, Calls):
--- a/pulleyroute/service/withheld.py
+++ b/pulleyroute/service/withheld.py
@@ -23,7 +23,7 @@
         )
 
 
-class Withheld:
+class WithheldInstances:
     """Stands between a discovery client and the decisions. Owns which instances are withheld.
 
     `tell` passes a list on to the decisions.
@@ -35,7 +35,7 @@
         self._entries: dict[WorkerId, Entry] = {}  # as discovery told them last
         self._version = 0
 
-    def hear(self, news: WorkerList) -> None:
+    def on_list_update(self, news: WorkerList) -> None:
         """The discovery client's news, passed on as the decisions are to have them."""
         self._version = news.version
         if news.kind in (ListKind.FULL, ListKind.CACHED):
@@ -43,7 +43,7 @@
         self._entries.update((entry.worker, entry) for entry in news.entries)
         self._tell(replace(news, entries=[self._shown(entry) for entry in news.entries]))
 
-    def set(self, names: frozenset[WorkerId]) -> None:
+    def withhold(self, names: frozenset[WorkerId]) -> None:
         """Withhold these and no others from now on."""
         if names == self._names:
             return
--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -8,7 +8,7 @@
 from typer.testing import CliRunner
 
 from pulleyroute.cli.app import app
-from pulleyroute.config import Invalid, load
+from pulleyroute.config import InvalidConfig, load
 from pulleyroute.fleet.drains import Part
 
 BASE = """
@@ -70,7 +70,7 @@
 def test_a_bad_fleet_block_is_told_with_line_and_key(tmp_path, line, said):
     store = "" if line.startswith("store") else 'store = ["127.0.0.1:2379"]\n'
     path = written(tmp_path, f"fleet {{\n{store}{line}\n}}\n")
-    with pytest.raises(Invalid) as told:
+    with pytest.raises(InvalidConfig) as told:
         load(path)
     where = BASE.count("\n") + (2 if not store else 3)
     assert f"{path}:{where}: {said}" in str(told.value)
--- a/tests/fleet/test_release.py
+++ b/tests/fleet/test_release.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pulleyroute.config import Invalid
+from pulleyroute.config import InvalidConfig
 from pulleyroute.config.plan import load_plan
 from pulleyroute.fleet.drains import Part
 from pulleyroute.fleet.members import Seat, Word
@@ -193,7 +193,7 @@
         ('waves = [1]\n on_failure = "cry"', "on_failure: expected one of 'halt', 'back'"),
     ):
         path.write_text(f'release "r" {{\n {text}\n}}\n')
-        with pytest.raises(Invalid) as told:
+        with pytest.raises(InvalidConfig) as told:
             load_plan(path)
         assert said in str(told.value)
 
--- a/tests/fleet/test_runners.py
+++ b/tests/fleet/test_runners.py
@@ -7,7 +7,7 @@
 from pulleyroute.fleet.records import Known, Mark
 from pulleyroute.fleet.runners import Runner, RunnerBounds, refusal, unconfirmed
 from pulleyroute.interface import Entry, ListKind, WorkerList, WorkerState
-from pulleyroute.service.withheld import Withheld
+from pulleyroute.service.withheld import WithheldInstances
 
 
 def boxes(leaving=()):
@@ -54,19 +54,19 @@
 
 def test_what_is_withheld_leaves_for_the_decisions_alone_and_comes_back_as_discovery_has_it():
     told = []
-    withheld = Withheld(told.append)
+    withheld = WithheldInstances(told.append)
     one, two = (Entry(name, WorkerState.READY, started=7) for name in (b"one", b"two"))
-    withheld.hear(WorkerList(1, ListKind.FULL, [one, two]))
-    withheld.set(frozenset([b"one"]))
+    withheld.on_list_update(WorkerList(1, ListKind.FULL, [one, two]))
+    withheld.withhold(frozenset([b"one"]))
     assert [entry.state for entry in told[-1].entries] == [WorkerState.DRAINING, WorkerState.READY]
     assert told[-1].kind is ListKind.CACHED  # or a broken watch on discovery would be taken for whole again
-    withheld.hear(WorkerList(2, ListKind.DELTA, [one]))
+    withheld.on_list_update(WorkerList(2, ListKind.DELTA, [one]))
     assert told[-1].entries[0].state is WorkerState.DRAINING
-    withheld.hear(WorkerList(3, ListKind.DELTA, [Entry(b"one", WorkerState.GONE)]))
+    withheld.on_list_update(WorkerList(3, ListKind.DELTA, [Entry(b"one", WorkerState.GONE)]))
     assert told[-1].entries[0].state is WorkerState.GONE
-    withheld.hear(WorkerList(4, ListKind.DELTA, [one]))
-    withheld.set(frozenset())
+    withheld.on_list_update(WorkerList(4, ListKind.DELTA, [one]))
+    withheld.withhold(frozenset())
     assert told[-1].entries == [one, two]
     count = len(told)
-    withheld.set(frozenset())
+    withheld.withhold(frozenset())
     assert len(told) == count
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pulleyroute.config import Invalid, load, pool_settings
-from pulleyroute.config.build import known_list
+from pulleyroute.config import InvalidConfig, load, pool_settings
+from pulleyroute.config.build import static_instance_list
 from pulleyroute.interface import Effect, ReportSource
 from pulleyroute.net.discovery import DiscoveryClient
 
@@ -71,7 +71,7 @@
 
 
 def mistakes(tmp_path, text):
-    with pytest.raises(Invalid) as caught:
+    with pytest.raises(InvalidConfig) as caught:
         read(tmp_path, text)
     return [str(problem).partition("site.hcl:")[2] for problem in caught.value.problems]
 
@@ -87,7 +87,7 @@
     assert settings.max_attempts == 3 and settings.zones[settings.zone] == "leicester"
     assert pool_settings(config, config.pool["boxes"]).report_source is ReportSource.PROBES
     table = DiscoveryClient(None, None, ("127.0.0.1", 1), settings, 0)  # type: ignore[arg-type]
-    table.load_known(known_list(config.pool["apps"], 1))
+    table.load_known(static_instance_list(config.pool["apps"], 1))
     assert table.active(b"a") and not table.active(b"b") and table.member(b"b").address == ("127.0.0.1", 9002)
 
 
@@ -178,10 +178,10 @@
 
 
 def test_a_file_that_is_not_there_or_no_text_is_a_mistake_too(tmp_path):
-    with pytest.raises(Invalid, match="readable file"):
+    with pytest.raises(InvalidConfig, match="readable file"):
         load(tmp_path / "none.hcl")
     (tmp_path / "x.hcl").write_bytes(b"\xff\xfe")
-    with pytest.raises(Invalid, match="UTF-8"):
+    with pytest.raises(InvalidConfig, match="UTF-8"):
         load(tmp_path / "x.hcl")
 
 
@@ -191,7 +191,7 @@
     path.write_text(GOOD[:at] + put + GOOD[at + cut :])
     try:
         load(path)
-    except Invalid as exc:
+    except InvalidConfig as exc:
         assert exc.problems
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -5,7 +5,7 @@
 import pytest
 
 from pulleyroute.config import load, pool_settings
-from pulleyroute.config.build import known_list
+from pulleyroute.config.build import static_instance_list
 from pulleyroute.net.config import load_config
 from tests.net.scene import INFO, Scene
 from tests.test_config import GOOD
@@ -24,7 +24,7 @@
     path = tmp_path / "site.hcl"
     path.write_text(GOOD + pool)
     many = load(path).pool["many"]
-    assert len(known_list(many, 1)["members"]) == COUNT
+    assert len(static_instance_list(many, 1)["members"]) == COUNT
     settings = pool_settings(load(path), many)
     assert (settings.dispatchers, settings.me) == (COUNT, COUNT - 1)
 
