--- a/pulleyroute/cli/emulate.py
+++ b/pulleyroute/cli/emulate.py
@@ -17,10 +17,10 @@
 
 
 def _loopback(address: str) -> tuple[str, int]:
-    from pulleyroute.config.types import At
+    from pulleyroute.config.types import AddressParser
 
     try:
-        place = At(any_port=True).read(address)
+        place = AddressParser(any_port=True).parse(address)
     except ValueError:
         place = "", 0
     if not place[0].startswith("127."):
--- a/pulleyroute/config/__init__.py
+++ b/pulleyroute/config/__init__.py
@@ -1,7 +1,8 @@
-"""The product's configuration: HCL, read with every mistake told at once, checked, and turned into settings.
+"""The HCL configuration of `pulleyroute serve`: parsed, checked, and converted to settings.
 
-Needs the extra `serve` (python-hcl2, msgspec). The platform's JSON is read by `net.config` instead; both end
-in the same `interface.Settings`.
+All mistakes in a file are reported at once. The package needs the extra `serve` (python-hcl2, msgspec). The
+JSON configuration of `python -m pulleyroute` is read by `net.config` instead; both produce the same
+`interface.Settings`.
 """
 
 from pulleyroute.config.build import pool_settings
--- a/pulleyroute/config/build.py
+++ b/pulleyroute/config/build.py
@@ -1,4 +1,4 @@
-"""The decisions' settings out of a checked configuration. Pure."""
+"""Converts a checked configuration to the settings of the decision module. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pulleyroute.config.types import Config, Pool
 
 _EFFECTS = {"safe": api.Effect.SAFE, "keyed": api.Effect.KEYED, "unsafe": api.Effect.UNSAFE}
-_SOURCES = {
+_REPORT_SOURCES = {
     "answers": api.ReportSource.ANSWERS,
     "probes": api.ReportSource.PROBES,
     "none": api.ReportSource.NONE,
@@ -16,7 +16,7 @@
 
 
 def pool_settings(config: Config, pool: Pool) -> api.Settings:
-    """What the decisions of one pool are told; classes stand in the file's order in every pool."""
+    """Return the settings of one pool's decision module. Every pool has all classes, in the file's order."""
     grpc = pool.protocol == "grpc"
     halls = sorted({each.hall for each in pool.instance.values()} | {pool.hall})
     return api.Settings(
@@ -40,8 +40,9 @@
         zones=halls,
         kinds=sorted({each.kit for each in pool.instance.values()}),
         report_names={} if grpc else dict(pool.report),
-        # A gRPC instance is asked for nothing: its load is counted here, and comes with its answers.
-        report_source=api.ReportSource.ANSWERS if grpc else _SOURCES[pool.reports],
+        # A gRPC instance is not asked for its load. The process counts its own open calls there, and reports
+        # that count to the decision module with each answer.
+        report_source=api.ReportSource.ANSWERS if grpc else _REPORT_SOURCES[pool.reports],
         probes=grpc or pool.probes,
         cancels=pool.cancels,
         tells_start=pool.tells_start and not grpc,
@@ -60,7 +61,7 @@
 
 
 def static_instance_list(pool: Pool, revision: int) -> dict[str, Any]:
-    """The instances that the file names, in discovery's form."""
+    """Return the instances that the file itself names, in the form of discovery's list."""
     return {
         "revision": revision,
         "complete": True,
--- a/pulleyroute/config/load.py
+++ b/pulleyroute/config/load.py
@@ -1,5 +1,7 @@
-"""A file's blocks into the types of `types.py`, and the checks that go across them. All mistakes are told at
-once."""
+"""Builds the types of `types.py` from the blocks of a file, and checks what concerns several blocks.
+
+All mistakes are collected and reported at once.
+"""
 
 from __future__ import annotations
 
@@ -13,25 +15,25 @@
 
 from pulleyroute.config.problems import InvalidConfig, Problem
 from pulleyroute.config.tree import Attribute, Block, parse
-from pulleyroute.config.types import Config, Reader, Strict
+from pulleyroute.config.types import Config, ConfigBlock, ValueParser
 from pulleyroute.grpc.routes import Match, Routes
 
-# Where a name in the file is a word of the language it is kept under.
-_NAMES = {"class": "job_class"}
-_SHOWN = {kept: shown for shown, kept in _NAMES.items()}
-_EXPECTED = {str: "a text", int: "a whole number", float: "a number", bool: "true or false"}
+# Keys whose field has another name, because the key is a keyword of Python.
+_FIELD_OF_KEY = {"class": "job_class"}
+_KEY_OF_FIELD = {field: key for key, field in _FIELD_OF_KEY.items()}
+_TYPE_TEXTS = {str: "a text", int: "a whole number", float: "a number", bool: "true or false"}
 
-Lines = dict[tuple[int, str], int]
-S = TypeVar("S", bound=Strict)
+LineNumbers = dict[tuple[int, str], int]
+BlockT = TypeVar("BlockT", bound=ConfigBlock)
 
 
 def load(path: str | Path) -> Config:
-    """The configuration in a file; raises `InvalidConfig`, which names every mistake with its line."""
+    """Return the configuration in a file; raises `InvalidConfig`, which lists every mistake with its line."""
     return read(path, Config)
 
 
-def read(path: str | Path, kind: type[S]) -> S:
-    """A file's blocks as one object of a kind; raises `InvalidConfig`."""
+def read(path: str | Path, kind: type[BlockT]) -> BlockT:
+    """Return the blocks of a file as one object of type `kind`; raises `InvalidConfig`."""
     file = str(path)
     try:
         text = Path(path).read_text()
@@ -41,104 +43,116 @@
         ) from None
     except UnicodeDecodeError:
         raise InvalidConfig([Problem(file, 1, "file", "UTF-8 text", "something else")]) from None
-    reading = _Reading(file)
-    whole = reading.block(parse(text, file), kind, "")
-    if isinstance(whole, Config):
-        reading.across(whole)
-    if reading.problems or not isinstance(whole, kind):
-        raise InvalidConfig(reading.problems)
-    return whole
+    reader = _ConfigReader(file)
+    built_file = reader.build_block(parse(text, file), kind, "")
+    if isinstance(built_file, Config):
+        reader.check_references(built_file)
+    if reader.problems or not isinstance(built_file, kind):
+        raise InvalidConfig(reader.problems)
+    return built_file
+
 
+class _ConfigReader:
+    """Builds objects from the blocks of one file, and collects the mistakes in them."""
 
-class _Reading:
     def __init__(self, file: str) -> None:
         self.file = file
         self.problems: list[Problem] = []
-        self.lines: Lines = {}  # of a built object's keys, by its id; "" for the object itself
+        self._lines: LineNumbers = {}  # by the id of a built object and the key; "" for the object itself
 
-    def tell(self, line: int, key: str, expected: str, found: str = "", near: str = "") -> None:
+    def report(self, line: int, key: str, expected: str, found: str = "", near: str = "") -> None:
         self.problems.append(Problem(self.file, line, key, expected, found, near))
 
-    def block(self, block: Block, kind: type[Strict], path: str) -> Strict | None:
-        """One block as one object; None where something in it could not be read."""
-        before = len(self.problems)
+    def build_block(self, block: Block, kind: type[ConfigBlock], path: str) -> ConfigBlock | None:
+        """Return one block as an object; None if it contains a mistake."""
+        problems_before = len(self.problems)
         hints = typing.get_type_hints(kind, include_extras=True)
         fields = {field.name: field for field in msgspec.structs.fields(kind)}
-        shown = [_SHOWN.get(name, name) for name in fields if name != "name" or not block.labels]
+        known_keys = [_KEY_OF_FIELD.get(name, name) for name in fields if name != "name" or not block.labels]
         values: dict[str, Any] = {}
         lines: dict[str, int] = {}
-        inner: dict[str, list[Block]] = {}
+        children: dict[str, list[Block]] = {}
         for attribute in block.attributes:
-            name = _NAMES.get(attribute.key, attribute.key)
-            if attribute.key not in shown:
-                self._unknown(attribute.key, attribute.line, path, shown)
-            elif _holds_blocks(hints[name]) and not _plain_map(hints[name]):
-                self.tell(
+            name = _FIELD_OF_KEY.get(attribute.key, attribute.key)
+            if attribute.key not in known_keys:
+                self._report_unknown_key(attribute.key, attribute.line, path, known_keys)
+            elif _has_blocks(hints[name]) and not _is_plain_map(hints[name]):
+                self.report(
                     attribute.line, path + attribute.key, f"a block: {attribute.key} {{ ... }}", "a value"
                 )
             else:
                 lines[name] = attribute.line
-                self._value(attribute, hints[name], path, values, name)
+                self._read_value(attribute, hints[name], path, values, name)
         for child in block.blocks:
-            name = _NAMES.get(child.kind, child.kind)
-            if child.kind not in shown:
-                self._unknown(child.kind, child.line, path, shown)
-            elif not _holds_blocks(hints[name]):
-                self.tell(child.line, path + child.kind, f"a value: {child.kind} = ...", "a block")
+            name = _FIELD_OF_KEY.get(child.kind, child.kind)
+            if child.kind not in known_keys:
+                self._report_unknown_key(child.kind, child.line, path, known_keys)
+            elif not _has_blocks(hints[name]):
+                self.report(child.line, path + child.kind, f"a value: {child.kind} = ...", "a block")
             else:
-                inner.setdefault(name, []).append(child)
+                children.setdefault(name, []).append(child)
                 lines.setdefault(name, child.line)
-        for name, blocks in inner.items():
-            self._inner(blocks, hints[name], path, values, name)
+        for name, blocks in children.items():
+            self._build_children(blocks, hints[name], path, values, name)
         for name, field in fields.items():
             if field.required and name not in values and name not in lines:
-                what = _SHOWN.get(name, name)
-                kind_of = "at least one block of it" if _holds_blocks(hints[name]) else "a value"
-                self.tell(block.line, path + what, kind_of, "none")
-        if len(self.problems) > before:
+                missing_key = _KEY_OF_FIELD.get(name, name)
+                expected = "at least one block of it" if _has_blocks(hints[name]) else "a value"
+                self.report(block.line, path + missing_key, expected, "none")
+        if len(self.problems) > problems_before:
             return None
         if block.labels:
             values["name"] = block.labels[0]
         built = kind(**values)
-        self.lines[id(built), ""] = block.line
+        self._lines[id(built), ""] = block.line
         for name, line in lines.items():
-            self.lines[id(built), name] = line
+            self._lines[id(built), name] = line
         return built
 
-    def _unknown(self, key: str, line: int, path: str, known: list[str]) -> None:
-        near = get_close_matches(key, known, 1)
-        self.tell(line, path + key, "a known key", "an unknown one", near[0] if near else "")
+    def _report_unknown_key(self, key: str, line: int, path: str, known: list[str]) -> None:
+        matches = get_close_matches(key, known, 1)
+        self.report(line, path + key, "a known key", "an unknown one", matches[0] if matches else "")
 
-    def _value(self, attribute: Attribute, hint: Any, path: str, values: dict[str, Any], name: str) -> None:
-        reader = next((each for each in getattr(hint, "__metadata__", ()) if isinstance(each, Reader)), None)
+    def _read_value(
+        self, attribute: Attribute, hint: Any, path: str, values: dict[str, Any], name: str
+    ) -> None:
+        value_parser = next(
+            (each for each in getattr(hint, "__metadata__", ()) if isinstance(each, ValueParser)), None
+        )
         try:
-            if reader is not None:
-                values[name] = reader.read(attribute.value)
+            if value_parser is not None:
+                values[name] = value_parser.parse(attribute.value)
             else:
                 values[name] = msgspec.convert(attribute.value, hint)
         except msgspec.ValidationError as exc:
-            self.tell(attribute.line, path + attribute.key, _expected(hint, str(exc)), repr(attribute.value))
+            self.report(
+                attribute.line, path + attribute.key, _expected(hint, str(exc)), repr(attribute.value)
+            )
         except ValueError as exc:
-            assert reader is not None
-            more = f" ({exc})" if str(exc).startswith("at least") else ""
-            self.tell(attribute.line, path + attribute.key, reader.expected + more, repr(attribute.value))
+            assert value_parser is not None
+            detail = f" ({exc})" if str(exc).startswith("at least") else ""
+            self.report(
+                attribute.line, path + attribute.key, value_parser.expected + detail, repr(attribute.value)
+            )
 
-    def _inner(self, blocks: list[Block], hint: Any, path: str, values: dict[str, Any], name: str) -> None:
-        kind = _struct(hint)
+    def _build_children(
+        self, blocks: list[Block], hint: Any, path: str, values: dict[str, Any], name: str
+    ) -> None:
+        kind = _block_type(hint)
         if typing.get_origin(hint) is dict:
-            many: dict[str, Any] = {}
+            by_name: dict[str, Any] = {}
             if kind is None:  # plain values under names
                 for block in blocks:
-                    many.update({each.key: each.value for each in block.attributes})
+                    by_name.update({each.key: each.value for each in block.attributes})
                 try:
-                    values[name] = msgspec.convert(many, hint)
+                    values[name] = msgspec.convert(by_name, hint)
                 except msgspec.ValidationError as exc:
-                    self.tell(blocks[0].line, path + blocks[0].kind, "texts", str(exc))
+                    self.report(blocks[0].line, path + blocks[0].kind, "strings", str(exc))
                 return
             for block in blocks:
                 where = path + block.kind
                 if len(block.labels) != 1:
-                    self.tell(
+                    self.report(
                         block.line,
                         where,
                         f'one name: {block.kind} "name" {{ ... }}',
@@ -146,91 +160,102 @@
                     )
                     continue
                 label = block.labels[0]
-                if label in many:
-                    self.tell(block.line, f"{where}.{label}", "each name once", "it again")
-                many[label] = self.block(block, kind, f"{where}.{label}.")
-            values[name] = many
+                if label in by_name:
+                    self.report(block.line, f"{where}.{label}", "each name once", "a second one")
+                by_name[label] = self.build_block(block, kind, f"{where}.{label}.")
+            values[name] = by_name
             return
         assert kind is not None
         if len(blocks) > 1:
-            self.tell(blocks[1].line, path + blocks[1].kind, "one block of it", f"{len(blocks)}")
-        values[name] = self.block(blocks[0], kind, f"{path}{blocks[0].kind}.")
+            self.report(blocks[1].line, path + blocks[1].kind, "one block of it", f"{len(blocks)}")
+        values[name] = self.build_block(blocks[0], kind, f"{path}{blocks[0].kind}.")
 
-    # What goes across blocks
+    # Checks that concern several keys or blocks
 
-    def line(self, of: object, key: str) -> int:
-        return self.lines.get((id(of), key)) or self.lines.get((id(of), "")) or 1
+    def line(self, built: object, key: str) -> int:
+        """Return the line of a key in the file; that of the block if the key is not written there."""
+        return self._lines.get((id(built), key)) or self._lines.get((id(built), "")) or 1
 
-    def across(self, config: Config) -> None:
-        """Names that must exist, and what must agree."""
+    def check_references(self, config: Config) -> None:
+        """Check that names refer to existing blocks, and that related values are consistent."""
         if not config.listener:
-            self.tell(1, "listener", "at least one", "none")
+            self.report(1, "listener", "at least one", "none")
         taken: dict[tuple[str, int], str] = {}
         for name, listener in config.listener.items():
             path = f"listener.{name}"
             if listener.address in taken and listener.address[1]:
-                self.tell(
+                self.report(
                     self.line(listener, "address"),
                     f"{path}.address",
-                    "an address of its own",
+                    "an address that no other listener has",
                     f"that of listener {taken[listener.address]!r}",
                 )
             taken[listener.address] = name
             if listener.protocol == "jobs":
                 pool = config.pool.get(listener.pool)
                 if pool is None or pool.protocol != "jobs":
-                    names = [each for each, kept in config.pool.items() if kept.protocol == "jobs"]
-                    self._no_name(
+                    names = [
+                        other for other, candidate in config.pool.items() if candidate.protocol == "jobs"
+                    ]
+                    self._report_unknown_name(
                         self.line(listener, "pool"), f"{path}.pool", "a pool of jobs", listener.pool, names
                     )
                 if listener.tls is not None:
-                    self.tell(
-                        self.line(listener, "tls"), f"{path}.tls", "protocol grpc with it", "protocol jobs"
+                    self.report(
+                        self.line(listener, "tls"),
+                        f"{path}.tls",
+                        "protocol grpc, which tls requires",
+                        "protocol jobs",
                     )
             elif listener.pool:
-                self.tell(
-                    self.line(listener, "pool"), f"{path}.pool", "routes to say where calls go", "a pool"
+                self.report(
+                    self.line(listener, "pool"),
+                    f"{path}.pool",
+                    "no pool, because routes select the pools of grpc calls",
+                    "a pool",
                 )
         for name, pool in config.pool.items():
             path = f"pool.{name}"
             if pool.discovery is None and not pool.instance:
-                self.tell(self.line(pool, ""), path, "discovery or an instance", "neither")
+                self.report(self.line(pool, ""), path, "discovery or an instance", "neither")
             if pool.discovery is not None and pool.instance:
-                self.tell(
+                self.report(
                     self.line(pool, "instance"), f"{path}.instance", "either discovery or instances", "both"
                 )
             if pool.number >= pool.dispatchers:
-                self.tell(
+                self.report(
                     self.line(pool, "number"), f"{path}.number", "less than dispatchers", str(pool.number)
                 )
         for name, each in config.job_class.items():
             if each.give_up < each.aim:
-                self.tell(
+                self.report(
                     self.line(each, "give_up"), f"class.{name}.give_up", "at least aim", f"{each.give_up} us"
                 )
             if each.effect != "keyed" and each.repeat_window:
-                self.tell(
+                self.report(
                     self.line(each, "repeat_window"),
                     f"class.{name}.repeat_window",
-                    "effect keyed with it",
+                    "effect keyed, which repeat_window requires",
                     f"effect {each.effect}",
                 )
         if config.fleet is not None and config.fleet.lease % 1_000_000:
-            self.tell(
+            self.report(
                 self.line(config.fleet, "lease"), "fleet.lease", "whole seconds", f"{config.fleet.lease} us"
             )
-        self._routes(config)
+        self._check_routes(config)
 
-    def _routes(self, config: Config) -> None:
+    def _check_routes(self, config: Config) -> None:
         seen: list[tuple[Match, str]] = []
         for name, route in config.route.items():
             path = f"route.{name}"
             pool = config.pool.get(route.pool)
             if pool is None or pool.protocol != "grpc":
-                names = [each for each, kept in config.pool.items() if kept.protocol == "grpc"]
-                self._no_name(self.line(route, "pool"), f"{path}.pool", "a pool of grpc", route.pool, names)
+                names = [other for other, candidate in config.pool.items() if candidate.protocol == "grpc"]
+                self._report_unknown_name(
+                    self.line(route, "pool"), f"{path}.pool", "a pool of grpc", route.pool, names
+                )
             if route.job_class not in config.job_class:
-                self._no_name(
+                self._report_unknown_name(
                     self.line(route, "job_class"),
                     f"{path}.class",
                     "a class",
@@ -244,46 +269,48 @@
                     Routes([*seen, (match, name)])
                     seen.append((match, name))
                 except ValueError as exc:
-                    problem = f"found {exc}"
+                    problem = f"{exc}"
             if problem is not None:
-                self.tell(
+                self.report(
                     self.line(route, ""), path, "service, service and method, or prefix, each once", problem
                 )
         if not config.route and any(each.protocol == "grpc" for each in config.listener.values()):
-            self.tell(1, "route", "at least one for the listeners of grpc", "none")
+            self.report(1, "route", "at least one, because a listener has protocol grpc", "none")
 
-    def _no_name(self, line: int, key: str, expected: str, found: str, names: list[str]) -> None:
-        near = get_close_matches(found, names, 1)
-        self.tell(line, key, expected, repr(found) if found else "none", near[0] if near else "")
+    def _report_unknown_name(self, line: int, key: str, expected: str, found: str, names: list[str]) -> None:
+        matches = get_close_matches(found, names, 1)
+        self.report(line, key, expected, repr(found) if found else "none", matches[0] if matches else "")
 
 
-def _struct(hint: Any) -> type[Strict] | None:
-    """The type of block that a field holds, if it holds blocks."""
+def _block_type(hint: Any) -> type[ConfigBlock] | None:
+    """Return the type of the blocks that a field takes; None if it takes none, or a map of plain values."""
     for each in (hint, *typing.get_args(hint)):
-        if isinstance(each, type) and issubclass(each, Strict):
+        if isinstance(each, type) and issubclass(each, ConfigBlock):
             return each
     return None
 
 
-def _holds_blocks(hint: Any) -> bool:
-    return _struct(hint) is not None or typing.get_origin(hint) is dict
+def _has_blocks(hint: Any) -> bool:
+    """Whether a field is written as a block in the file, not as a key with a value."""
+    return _block_type(hint) is not None or typing.get_origin(hint) is dict
 
 
-def _plain_map(hint: Any) -> bool:
-    return typing.get_origin(hint) is dict and _struct(hint) is None
+def _is_plain_map(hint: Any) -> bool:
+    """Whether a field is a block whose keys are not fixed, such as `report`."""
+    return typing.get_origin(hint) is dict and _block_type(hint) is None
 
 
-def _expected(hint: Any, said: str) -> str:
-    """What a value should be, in a person's words."""
+def _expected(hint: Any, message: str) -> str:
+    """Return a description of the valid values; `message` is the error of msgspec, which has the limit."""
     while typing.get_origin(hint) is typing.Annotated:
         hint = typing.get_args(hint)[0]
     if typing.get_origin(hint) is typing.Literal:
         return "one of " + ", ".join(repr(each) for each in typing.get_args(hint))
     if typing.get_origin(hint) in (Union, types.UnionType):
         inner = [each for each in typing.get_args(hint) if each is not type(None)]
-        return _expected(inner[0], said)
-    words = _EXPECTED.get(hint, "another value") if isinstance(hint, type) else "another value"
-    for mark in (">= ", "<= ", "> ", "length >= ", "length <= "):
-        if f" {mark}" in said:
-            return f"{words} {mark}{said.rsplit(mark, 1)[1].split(' ')[0].rstrip('`')}"
+        return _expected(inner[0], message)
+    words = _TYPE_TEXTS.get(hint, "another value") if isinstance(hint, type) else "another value"
+    for bound in (">= ", "<= ", "> ", "length >= ", "length <= "):
+        if f" {bound}" in message:
+            return f"{words} {bound}{message.rsplit(bound, 1)[1].split(' ')[0].rstrip('`')}"
     return words
--- a/pulleyroute/config/plan.py
+++ b/pulleyroute/config/plan.py
@@ -1,4 +1,4 @@
-"""A release's plan in HCL: read and checked as a configuration is, with every mistake told at once."""
+"""Reads the plan of a release from HCL. It is checked like a configuration, and all mistakes are reported."""
 
 from __future__ import annotations
 
@@ -7,31 +7,43 @@
 
 from pulleyroute.config.load import read
 from pulleyroute.config.problems import InvalidConfig, Problem
-from pulleyroute.config.types import Count, ListOf, Name, PartOf, Positive, Strict, Time
+from pulleyroute.config.types import (
+    ConfigBlock,
+    Count,
+    Duration,
+    ListParser,
+    Name,
+    PartParser,
+    PositiveDuration,
+)
 from pulleyroute.fleet.drains import Part
 from pulleyroute.fleet.release import Plan
 
 
-class ReleaseBlock(Strict, kw_only=True):
-    """One `release "name" { ... }`."""
+class ReleaseBlock(ConfigBlock, kw_only=True):
+    """A `release "name" { ... }` block."""
 
     name: str = ""
     version: Name
-    waves: Annotated[list[Part], ListOf(PartOf(), 'a list of numbers and shares such as [1, "25%", "100%"]')]
+    waves: Annotated[
+        list[Part], ListParser(PartParser(), 'a list of numbers and shares such as [1, "25%", "100%"]')
+    ]
     zones: tuple[str, ...] = ()
     of_version: str = ""
     at_once: Count = 1
-    soak: Time = 30_000_000
-    patience: Positive = 300_000_000
+    soak: Duration = 30_000_000
+    patience: PositiveDuration = 300_000_000
     on_failure: Literal["halt", "back"] = "halt"
 
 
-class PlanFile(Strict, kw_only=True):
+class PlanFile(ConfigBlock, kw_only=True):
+    """The file of a plan, which has exactly one release block."""
+
     release: dict[str, ReleaseBlock]
 
 
 def load_plan(path: str | Path) -> Plan:
-    """The plan in a file; raises `InvalidConfig`."""
+    """Return the plan in a file; raises `InvalidConfig` with all mistakes."""
     file = read(path, PlanFile)
     if len(file.release) != 1:
         raise InvalidConfig([Problem(str(path), 1, "release", "one block of it", f"{len(file.release)}")])
--- a/pulleyroute/config/problems.py
+++ b/pulleyroute/config/problems.py
@@ -1,4 +1,4 @@
-"""Mistakes in a configuration, as a person reads them."""
+"""The mistakes found in a configuration, and the text that reports them."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Problem:
-    """One mistake. `line` counts from 1; `key` is the path of names to it, joined by dots."""
+    """One mistake. `line` counts from 1; `key` is the path of block and key names, joined by dots."""
 
     file: str
     line: int
     key: str
     expected: str
     found: str = ""
-    near: str = ""  # a key that may have been meant
+    near: str = ""  # the known name that is most similar to the one in the file, if any
 
     def __str__(self) -> str:
         text = f"{self.file}:{self.line}: {self.key}: expected {self.expected}"
@@ -26,7 +26,7 @@
 
 
 class InvalidConfig(Exception):
-    """A configuration that can't be used, with all its mistakes in the order of their lines."""
+    """Raised for a configuration that cannot be used; holds all its mistakes in the order of their lines."""
 
     def __init__(self, problems: list[Problem]) -> None:
         self.problems = sorted(problems, key=lambda problem: (problem.line, problem.key))
--- a/pulleyroute/config/tree.py
+++ b/pulleyroute/config/tree.py
@@ -1,6 +1,7 @@
-"""HCL text to plain blocks with their lines: python-hcl2 parses, this keeps what a message to a person needs.
+"""Converts HCL text to blocks of plain values, with the line numbers that error messages need.
 
-Only literal values are taken: a configuration that computes is one that a person can't check by reading it.
+python-hcl2 parses the text. Only literal values are accepted, because a person cannot check a configuration
+with computed values by reading it.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 @dataclass(slots=True)
 class Attribute:
-    """A key with its value as plain Python; `line` is the key's."""
+    """A key and its value as a plain Python object; `line` is that of the key."""
 
     key: str
     value: Any
@@ -27,7 +28,7 @@
 
 @dataclass(slots=True)
 class Block:
-    """A block: its kind, its labels, and what stands in it."""
+    """A block: its type (`kind`), its labels and its content."""
 
     kind: str
     labels: list[str]
@@ -36,12 +37,12 @@
     blocks: list[Block] = field(default_factory=list)
 
 
-class _NotLiteral(Exception):
-    pass
+class _NotALiteral(Exception):
+    """Raised for a value that is not a literal; the text describes what it is instead."""
 
 
 def parse(text: str, file: str) -> Block:
-    """The file as one block without a name; raises `InvalidConfig`."""
+    """Return the content of a file as one unnamed block; raises `InvalidConfig`."""
     try:
         tree = hcl2.parses_to_tree(text if text.endswith("\n") else text + "\n")
     except UnexpectedEOF:
@@ -50,102 +51,106 @@
         ) from None
     except UnexpectedInput as exc:
         line = exc.line if isinstance(exc.line, int) and exc.line > 0 else 1
-        found = "a character that cannot stand here"
+        found = "a character that is not allowed here"
         if not isinstance(exc, UnexpectedCharacters):
             token = getattr(exc, "token", None)
-            ends = token is None or token.type == "$END"
-            found = "the end of the file" if ends else repr(str(token).strip() or "the end of the line")
+            at_end = token is None or token.type == "$END"
+            found = "the end of the file" if at_end else repr(str(token).strip() or "the end of the line")
         raise InvalidConfig(
             [Problem(file, line, "syntax", 'HCL: `key = value` or `kind "name" { ... }`', found)]
         ) from None
     problems: list[Problem] = []
     root = Block("", [], 1)
-    _fill(root, tree.children[0], file, "", problems)
+    _fill_block(root, tree.children[0], file, "", problems)
     if problems:
         raise InvalidConfig(problems)
     return root
 
 
-def _fill(into: Block, body: Tree[Token], file: str, path: str, problems: list[Problem]) -> None:
+def _fill_block(parent: Block, body: Tree[Token], file: str, path: str, problems: list[Problem]) -> None:
     for node in body.children:
         if not isinstance(node, Tree):
             continue
         if node.data == "attribute":
-            name = _first(node)
+            name = _first_token(node)
             key = f"{path}{name}"
-            if any(each.key == str(name) for each in into.attributes):
-                problems.append(Problem(file, _line(name), key, "each key once", "it again"))
+            if any(each.key == str(name) for each in parent.attributes):
+                problems.append(Problem(file, _line_of(name), key, "each key once", "a second one"))
             try:
-                into.attributes.append(Attribute(str(name), _value(node.children[-1]), _line(name)))
-            except _NotLiteral as exc:
-                problems.append(Problem(file, _line(name), key, "a literal value", str(exc)))
+                parent.attributes.append(
+                    Attribute(str(name), _literal_value(node.children[-1]), _line_of(name))
+                )
+            except _NotALiteral as exc:
+                problems.append(Problem(file, _line_of(name), key, "a literal value", str(exc)))
         elif node.data == "block":
-            name = _first(node)
-            labels = [_label(each) for each in node.children[1:] if _is(each, "string", "identifier")]
-            block = Block(str(name), labels, _line(name))
-            into.blocks.append(block)
-            inner = [each for each in node.children if _is(each, "body")]
-            if inner:
+            name = _first_token(node)
+            labels = [
+                _label_text(each) for each in node.children[1:] if _is_node(each, "string", "identifier")
+            ]
+            block = Block(str(name), labels, _line_of(name))
+            parent.blocks.append(block)
+            bodies = [each for each in node.children if _is_node(each, "body")]
+            if bodies:
                 where = ".".join([str(name), *labels])
-                _fill(block, inner[0], file, f"{path}{where}.", problems)  # type: ignore[arg-type]
+                _fill_block(block, bodies[0], file, f"{path}{where}.", problems)  # type: ignore[arg-type]
 
 
-def _is(node: object, *kinds: str) -> bool:
+def _is_node(node: object, *kinds: str) -> bool:
     return isinstance(node, Tree) and node.data in kinds
 
 
-def _first(node: Tree[Token]) -> Token:
+def _first_token(node: Tree[Token]) -> Token:
     return next(node.scan_values(lambda value: isinstance(value, Token)))
 
 
-def _line(token: Token) -> int:
+def _line_of(token: Token) -> int:
     return token.line or 1
 
 
-def _label(node: Any) -> str:
-    return _text(node) if node.data == "string" else str(_first(node))
+def _label_text(node: Any) -> str:
+    return _string_text(node) if node.data == "string" else str(_first_token(node))
 
 
-def _text(node: Tree[Token]) -> str:
-    """A quoted string with its escapes read."""
+def _string_text(node: Tree[Token]) -> str:
+    """Return the text of a quoted string, with its escape sequences resolved."""
     parts: list[str] = []
     for part in node.children:
         if isinstance(part, Tree):
             if any(not isinstance(each, Token) or each.type != "STRING_CHARS" for each in part.children):
-                raise _NotLiteral("a template")
+                raise _NotALiteral("a template")
             parts.extend(str(each) for each in part.children)
     text = "".join(parts)
     try:
         return str(json.loads(f'"{text}"'))
     except ValueError:
-        raise _NotLiteral(f"a string with an escape that is none: {text!r}") from None
+        raise _NotALiteral(f"a string with an invalid escape sequence: {text!r}") from None
 
 
-def _value(node: Any) -> Any:
+def _literal_value(node: Any) -> Any:
     if isinstance(node, Token):
-        return _word(str(node))
+        return _keyword_value(str(node))
     kind = node.data
-    children = [each for each in node.children if not _is(each, "new_line_or_comment")]
+    children = [each for each in node.children if not _is_node(each, "new_line_or_comment")]
     if kind in ("expr_term", "string_part") and len(children) == 1:
-        return _value(children[0])
+        return _literal_value(children[0])
     if kind == "string":
-        return _text(node)
+        return _string_text(node)
     if kind in ("int_lit", "float_lit"):
         text = "".join(str(each) for each in node.scan_values(lambda value: True))
         return int(text) if kind == "int_lit" else float(text)
     if kind == "unary_op" and str(children[0]) == "-":
-        value = _value(children[1])
+        value = _literal_value(children[1])
         if isinstance(value, int | float):
             return -value
     if kind == "tuple":
-        return [_value(each) for each in children if isinstance(each, Tree)]
+        return [_literal_value(each) for each in children if isinstance(each, Tree)]
     if kind in ("keyword", "identifier") or all(isinstance(each, Token) for each in children):
-        return _word("".join(str(each) for each in children))
-    raise _NotLiteral(f"an expression ({kind})")
+        return _keyword_value("".join(str(each) for each in children))
+    raise _NotALiteral(f"an expression ({kind})")
 
 
-def _word(text: str) -> Any:
-    words = {"true": True, "false": False, "null": None}
-    if text.strip() in words:
-        return words[text.strip()]
-    raise _NotLiteral(f"{text.strip()!r} without quotes")
+def _keyword_value(text: str) -> Any:
+    keywords = {"true": True, "false": False, "null": None}
+    if text.strip() in keywords:
+        return keywords[text.strip()]
+    raise _NotALiteral(f"{text.strip()!r} without quotes")
