--- a/pulleyroute/cli/serve.py
+++ b/pulleyroute/cli/serve.py
@@ -67,16 +67,16 @@
         join(loop, service, made)
     loop.run()
     sink.close()
-    if service.status:
-        raise typer.Exit(service.status)
+    if service.exit_status:
+        raise typer.Exit(service.exit_status)
 
 
 def _told(service: Service, config: Config) -> None:
-    for name, front in service.fronts.items():
+    for name, front in service.grpc_listeners.items():
         logger.bind(event="listening", listener=name, protocol="grpc").info(
             "listener {}: grpc on {}:{}", name, *front.address
         )
-    for name, clients in service.clients.items():
+    for name, clients in service.job_listeners.items():
         logger.bind(event="listening", listener=name, protocol="jobs").info(
             "listener {}: jobs on {}:{}", name, *clients.address
         )
@@ -94,12 +94,12 @@
             logger.bind(event="config.refused").error("configuration not read again: {}", line)
         return
     service.metrics.conf_loaded += 1
-    for key in made.restart:
+    for key in made.needs_restart:
         logger.bind(event="config.restart", key=key).warning("a change of {} needs a restart", key)
     logger.bind(event="config.reloaded").info(
         "configuration read again: pools new {}, gone {}; listeners new {}, gone {}",
         *(
             ", ".join(names) or "none"
-            for names in (made.new_pools, made.gone_pools, made.new_listeners, made.gone_listeners)
+            for names in (made.new_pools, made.removed_pools, made.new_listeners, made.removed_listeners)
         ),
     )
--- a/pulleyroute/service/__init__.py
+++ b/pulleyroute/service/__init__.py
@@ -1,5 +1,7 @@
-"""The product's process: listeners, pools and routes of a checked configuration, on one loop, changed while
-it runs."""
+"""The service of `pulleyroute serve`: the listeners, pools and routes of a configuration, on one event loop.
+
+Another configuration can be applied while the service runs.
+"""
 
 from pulleyroute.service.assembly import CannotServe, Service
 
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -1,5 +1,7 @@
-"""Builds the parts of a service, wires them, and moves a running one to another configuration, whole or not
-at all."""
+"""Builds and connects the parts of a service, and applies another configuration to a running one.
+
+A configuration takes effect completely or not at all.
+"""
 
 from __future__ import annotations
 
@@ -31,65 +33,65 @@
 from pulleyroute.net.metrics import Gauges, JobOutcome, Metrics
 from pulleyroute.net.process import ensure_descriptors
 from pulleyroute.net.tls import CertificateFiles, client_context, server_context
-from pulleyroute.service.changes import Plan, plan
+from pulleyroute.service.changes import ChangePlan, plan_changes
 from pulleyroute.service.withheld import FleetHost, WithheldInstances
 
-NOWHERE = ("127.0.0.1", 1)  # a static pool asks no discovery
-RESERVE = 32  # descriptors for the listeners and the process itself
-INSTANCE_SHARE = 0.3
-JOB_SHARE = 0.45
-READ_SHARE = 1 / 3
-LOOK = 200_000  # between two looks at what is to end
+UNUSED_ADDRESS = ("127.0.0.1", 1)  # the discovery address of a pool with a fixed list, never contacted
+RESERVED_DESCRIPTORS = 32  # for the listeners and the process itself
+INSTANCE_CONNECTIONS_SHARE = 0.3  # of the descriptors, for connections to the instances of a pool of jobs
+OPEN_JOBS_SHARE = 0.45  # of the descriptors, as the most open jobs of a listener
+REQUEST_MEMORY_SHARE = 1 / 3  # of the memory limit, for the request bytes of jobs
+POLL_INTERVAL_US = 200_000  # between two checks of whether replaced parts have finished
 
 
 class CannotServe(Exception):
-    """The configuration is in form, but can't be put in force; the text is one plain line."""
+    """Raised for a valid configuration that cannot be applied; the text is one line."""
 
 
 @dataclass(slots=True)
-class Running:
-    """A pool in force."""
+class PoolRuntime:
+    """A pool with the objects that run it."""
 
     pool: Pool
     settings: Settings
     discovery: DiscoveryClient
     host: FleetHost
-    back: Calls | Instances
+    transport: Calls | Instances
     withheld: WithheldInstances
     revision: int = 1
 
 
 class Service:
-    """Owns the pools and listeners of one process, and what replaced ones still finish."""
+    """Owns the pools and listeners of one process, and replaced ones until their open requests have ended."""
 
     def __init__(self, loop: Loop, config: Config) -> None:
         self._loop = loop
         self._buffers = BufferPool()
-        self._epoch = time.time_ns() // 1000 - loop.now()
+        self._clock_offset = time.time_ns() // 1000 - loop.now()
         self._random = random.Random(config.seed)
         self.config: Config | None = None
-        self.pools: dict[str, Running] = {}
-        self.fronts: dict[str, Front] = {}
-        self.clients: dict[str, Downstream] = {}
-        self._retired: list[Running] = []
-        self._leaving: list[Front] = []
+        self.pools: dict[str, PoolRuntime] = {}
+        self.grpc_listeners: dict[str, Front] = {}
+        self.job_listeners: dict[str, Downstream] = {}
+        self._retired_pools: list[PoolRuntime] = []
+        self._stopping_fronts: list[Front] = []
         self._routes: Routes[Target] = Routes([])
         self.health = Health(lambda service: self._routes.serves(service.encode()))
-        self._left: set[str] = set()
-        self._marked: set[tuple[str, str]] = set()
+        self._drained_job_listeners: set[str] = set()
+        self._withheld_runners: set[tuple[str, str]] = set()
         limits = config.limits
         sockets, memory = (limits.sockets, limits.memory) if limits is not None else (1024, 256 * 1024**2)
-        self._budget = (
+        self._descriptor_budget = (
             ensure_descriptors(sockets)
-            - RESERVE
+            - RESERVED_DESCRIPTORS
             - (ADMIN_DESCRIPTORS if config.management is not None else 0)
         )
         self.metrics = Metrics()
         self._lifecycle = Lifecycle()
-        self.status = 0  # that the process is to end with
-        self.moved: Callable[[], None] = lambda: None  # hears of each change of phase
+        self.exit_status = 0  # the exit status of the process once the loop has stopped
+        self.on_phase_change: Callable[[], None] = lambda: None  # called after each change of phase
         loop.wakeup_pacing.pause_us = limits.rest if limits is not None else 50
-        self._ledger = Ledger(int(memory * READ_SHARE))
+        self._ledger = Ledger(int(memory * REQUEST_MEMORY_SHARE))
         self.apply(config)
         if config.management is not None:
             try:
@@ -104,40 +106,46 @@
 
     @property
     def phase(self) -> Phase:
-        """What it is doing for its clients."""
+        """What the service does for its clients."""
         return self._lifecycle.phase
 
     def classes(self) -> list[str]:
-        """The names of the classes in force."""
+        """Return the names of the classes of the current configuration."""
         return list(self.config.job_class) if self.config is not None else []
 
     def gauges(self) -> Gauges:
-        """What is so at the moment, over all pools."""
+        """Return the current values of the gauges, summed over all pools."""
         pools = list(self.pools.values())
         return Gauges(
-            sum(each.host.open_requests for each in pools + self._retired),
+            sum(each.host.open_requests for each in pools + self._retired_pools),
             sum(each.discovery.size for each in pools),
             sum(each.host.avoided for each in pools),
         )
 
     def standby(self) -> None:
-        """Drain, and stay: jobs' clients are sent elsewhere, and health says that nothing is served."""
+        """Drain, but keep the process running.
+
+        The job listeners report not ready and close their connections; gRPC health checks report not serving.
+        """
         if self._lifecycle.standby(self._loop.now()):
             self.health.change(False)
-            for each in self.clients.values():
+            for each in self.job_listeners.values():
                 each.standby()
-            self.moved()
+            self.on_phase_change()
 
     def active(self) -> None:
-        """Back to work."""
+        """Return from standby to service."""
         if self._lifecycle.active():
             self.health.change(True)
-            for each in self.clients.values():
+            for each in self.job_listeners.values():
                 each.active()
-            self.moved()
+            self.on_phase_change()
 
     def leave(self, version: str) -> None:
-        """End as `stop` does, to be started again by whoever runs it, as that version where one is named."""
+        """Stop with the exit status that asks the supervisor for a restart; does nothing outside a fleet.
+
+        A version that is not empty is written to the version file for the supervisor to start.
+        """
         fleet = self.config.fleet if self.config is not None else None
         if fleet is None:
             return
@@ -146,15 +154,17 @@
                 Path(fleet.version_file).write_text(version + "\n")
             except OSError as exc:
                 logger.bind(event="fleet.version_file").error(
-                    "{} can't be written, the same version will come: {}", fleet.version_file, exc.strerror
+                    "cannot write {}, so the same version will be started again: {}",
+                    fleet.version_file,
+                    exc.strerror,
                 )
-        self.status = fleet.restart_status
+        self.exit_status = fleet.restart_status
         self.stop()
 
     # For the fleet
 
     def runners(self, pool: str) -> list[Runner] | None:
-        """The instances that discovery tells of in a pool; None where there is no such pool."""
+        """Return the instances in the list of a pool; None if there is no such pool."""
         running = self.pools.get(pool)
         if running is None:
             return None
@@ -169,76 +179,81 @@
         ]
 
     def withhold(self, marked: set[tuple[str, str]]) -> None:
-        """Give these instances, each of a pool, nothing new from now on, and no others."""
-        self._marked = marked
+        """Send no new work to these instances, given as pairs of pool and name. Replaces the previous set."""
+        self._withheld_runners = marked
         for name, running in self.pools.items():
             running.withheld.withhold(
                 frozenset(WorkerId(each.encode()) for pool, each in marked if pool == name)
             )
 
     def busy(self, pool: str, runner: str) -> bool:
-        """Whether anything of this process is out there, also of a pool that a reload has replaced."""
+        """Whether this process has an open attempt at an instance, including those of replaced pools."""
         instance = WorkerId(runner.encode())
         return any(
-            running.host.out_at(instance)
+            running.host.open_attempts_at(instance)
             for running in (
                 *([self.pools[pool]] if pool in self.pools else []),
-                *(each for each in self._retired if each.pool.name == pool),
+                *(each for each in self._retired_pools if each.pool.name == pool),
             )
         )
 
     def jobs(self) -> tuple[int, int]:
-        """How many jobs were served, and how many have ended, since the start."""
+        """Return how many jobs were served since the process started, and how many have ended in any way."""
         counts = [self.metrics.outcome_counts(name) for name in self.classes()]
         return sum(each[JobOutcome.ANSWERED] for each in counts), sum(sum(each.values()) for each in counts)
 
     # Configurations
 
-    def apply(self, config: Config) -> Plan:
-        """Put a configuration in force; raises `CannotServe`, and then the one before goes on untouched."""
-        made = plan(self.config, config)
-        server, client = self._contexts(config)
-        pools = {name: self.pools[name] for name in made.kept_pools}
-        for name in made.new_pools:
-            pools[name] = self._pool(config, config.pool[name], client.get(name))
-        routes = self._route(config, pools)
-        fronts: dict[str, Front] = {}
-        clients: dict[str, Downstream] = {}
+    def apply(self, config: Config) -> ChangePlan:
+        """Apply a configuration and return what changed.
+
+        Raises `CannotServe` if that is not possible; the previous configuration then stays in effect.
+        """
+        changes = plan_changes(self.config, config)
+        server, client = self._tls_contexts(config)
+        pools = {name: self.pools[name] for name in changes.kept_pools}
+        for name in changes.new_pools:
+            pools[name] = self._build_pool(config, config.pool[name], client.get(name))
+        routes = self._build_routes(config, pools)
+        new_fronts: dict[str, Front] = {}
+        new_downstreams: dict[str, Downstream] = {}
         try:
-            for name in made.new_listeners:
-                self._listen(name, config.listener[name], pools, routes, server.get(name), fronts, clients)
+            for name in changes.new_listeners:
+                self._open_listener(
+                    name, config.listener[name], pools, routes, server.get(name), new_fronts, new_downstreams
+                )
         except OSError as exc:
-            for front in fronts.values():
+            for front in new_fronts.values():
                 front.stop()
-            for each in clients.values():
-                each.stop()
+            for downstream in new_downstreams.values():
+                downstream.stop()
             raise CannotServe(
                 f"listener {name}: cannot listen on {config.listener[name].address[0]}:"
                 f"{config.listener[name].address[1]}: {exc.strerror}"
             ) from None
-        # From here on nothing fails: the change takes effect between two events of the loop, all of it.
-        for name in made.kept_pools:
-            self._renew(self.pools[name], config.pool[name], client.get(name))
-        for name in made.gone_pools:
+        # Nothing below can fail, so the whole change takes effect between two events of the loop.
+        for name in changes.kept_pools:
+            self._update_pool(self.pools[name], config.pool[name], client.get(name))
+        for name in changes.removed_pools:
             old = self.pools[name]
             old.host.retired = True
-            self._retired.append(old)
-        for name in made.gone_listeners:
-            self._let_go(name)
+            self._retired_pools.append(old)
+        for name in changes.removed_listeners:
+            self._stop_listener(name)
         self._routes = routes
-        for name in made.kept_listeners:
-            if name in self.fronts:
-                self.fronts[name].apply(routes, front_limits(config.listener[name]), server.get(name))
+        for name in changes.kept_listeners:
+            if name in self.grpc_listeners:
+                self.grpc_listeners[name].apply(routes, front_limits(config.listener[name]), server.get(name))
         self.pools = pools
-        self.withhold(self._marked)
-        self.fronts.update(fronts)
-        self.clients.update(clients)
+        self.withhold(self._withheld_runners)
+        self.grpc_listeners.update(new_fronts)
+        self.job_listeners.update(new_downstreams)
         self.config = config
-        if self._retired or self._leaving:
-            self._loop.call_at(self._loop.now() + LOOK, self._clear)
-        return made
+        if self._retired_pools or self._stopping_fronts:
+            self._loop.call_at(self._loop.now() + POLL_INTERVAL_US, self._remove_finished)
+        return changes
 
-    def _contexts(self, config: Config) -> tuple[dict[str, ssl.SSLContext], dict[str, ssl.SSLContext]]:
+    def _tls_contexts(self, config: Config) -> tuple[dict[str, ssl.SSLContext], dict[str, ssl.SSLContext]]:
         server, client = {}, {}
         try:
             for name, listener in config.listener.items():
@@ -252,22 +267,22 @@
             raise CannotServe(str(exc)) from None
         return server, client
 
-    def _pool(self, config: Config, pool: Pool, context: ssl.SSLContext | None) -> Running:
+    def _build_pool(self, config: Config, pool: Pool, context: ssl.SSLContext | None) -> PoolRuntime:
         settings = pool_settings(config, pool)
         discovery = DiscoveryClient(
             self._loop,
             self._buffers,
-            pool.discovery or NOWHERE,
+            pool.discovery or UNUSED_ADDRESS,
             settings,
-            self._epoch,
+            self._clock_offset,
             self._random.getrandbits(64),
         )
-        back: Calls | Instances
+        transport: Calls | Instances
         if pool.protocol == "grpc":
             limits = Limits(
                 window=pool.window, ping_after=pool.ping_after, ping_timeout=pool.ping_patience, idle=0
             )
-            back = Calls(
+            transport = Calls(
                 self._loop,
                 self._buffers,
                 discovery,
@@ -280,42 +295,43 @@
                 self.metrics,
             )
         else:
-            back = Instances(
+            transport = Instances(
                 self._loop,
                 self._buffers,
                 discovery,
                 settings,
-                int(self._budget * INSTANCE_SHARE),
+                int(self._descriptor_budget * INSTANCE_CONNECTIONS_SHARE),
                 self.metrics,
             )
-        host = FleetHost(self._loop, settings, self._random.getrandbits(64), discovery, back)
-        if isinstance(back, Calls):
-            back.host = host
+        host = FleetHost(self._loop, settings, self._random.getrandbits(64), discovery, transport)
+        if isinstance(transport, Calls):
+            transport.host = host
         withheld = WithheldInstances(host.post)
         discovery.on_update = withheld.on_list_update
-        running = Running(pool, settings, discovery, host, back, withheld)
+        running = PoolRuntime(pool, settings, discovery, host, transport, withheld)
         if pool.instance:
             discovery.load_known(static_instance_list(pool, running.revision))
         else:
             discovery.load_known({"revision": 0, "complete": True, "members": []})
-            # At once: the decisions would ask within 2.5 s, spread for the sake of many that start together,
-            # and until then there is nobody to take a job.
+            # The watch is opened immediately. The decision module would ask for the list within 2.5 s, a
+            # delay that spreads the requests of many processes that start together, and until the list
+            # arrives no instance is known that could take a job.
             discovery.watch(True)
         return running
 
-    def _renew(self, running: Running, pool: Pool, context: ssl.SSLContext | None) -> None:
-        """A pool that stays: its instances, its discovery, its certificates."""
+    def _update_pool(self, running: PoolRuntime, pool: Pool, context: ssl.SSLContext | None) -> None:
+        """Update the instances, the discovery address and the certificates of a pool that is kept."""
         if pool.instance and pool.instance != running.pool.instance:
             running.revision += 1
             running.discovery.load_known(static_instance_list(pool, running.revision))
         if pool.discovery is not None and pool.discovery != running.pool.discovery:
             running.discovery.set_address(pool.discovery)
-        if isinstance(running.back, Calls):
-            running.back.context = context
-            running.back.server_name = pool.tls.server_name if pool.tls is not None else ""
+        if isinstance(running.transport, Calls):
+            running.transport.context = context
+            running.transport.server_name = pool.tls.server_name if pool.tls is not None else ""
         running.pool = pool
 
-    def _route(self, config: Config, pools: dict[str, Running]) -> Routes[Target]:
+    def _build_routes(self, config: Config, pools: dict[str, PoolRuntime]) -> Routes[Target]:
         numbers = {name: number for number, name in enumerate(config.job_class)}
         return Routes(
             [
@@ -333,15 +349,15 @@
             ]
         )
 
-    def _listen(
+    def _open_listener(
         self,
         name: str,
         listener: Listener,
-        pools: dict[str, Running],
+        pools: dict[str, PoolRuntime],
         routes: Routes[Target],
         context: ssl.SSLContext | None,
-        fronts: dict[str, Front],
-        clients: dict[str, Downstream],
+        new_fronts: dict[str, Front],
+        new_downstreams: dict[str, Downstream],
     ) -> None:
         if listener.protocol == "grpc":
             front = Front(
@@ -355,80 +371,84 @@
                 self.metrics,
             )
             front.listen(listener.address)
-            fronts[name] = front
+            new_fronts[name] = front
             return
         running = pools[listener.pool]
         limits = listener.limits or ListenerLimits()
-        most = min(limits.connections, int(self._budget * (1 - INSTANCE_SHARE)))
-        each = Downstream(
+        max_connections = min(
+            limits.connections, int(self._descriptor_budget * (1 - INSTANCE_CONNECTIONS_SHARE))
+        )
+        downstream = Downstream(
             self._loop,
             self._buffers,
             self._ledger,
             running.host,
             running.settings,
-            most,
-            min(limits.calls, int(self._budget * JOB_SHARE)),
+            max_connections,
+            min(limits.calls, int(self._descriptor_budget * OPEN_JOBS_SHARE)),
             self.metrics,
         )
-        each.on_drained = lambda: self._left.add(name)
-        each.listen(listener.address)
+        downstream.on_drained = lambda: self._drained_job_listeners.add(name)
+        downstream.listen(listener.address)
         if self.phase is Phase.STANDBY:
-            each.standby()
-        clients[name] = each
+            downstream.standby()
+        new_downstreams[name] = downstream
 
-    def _let_go(self, name: str) -> None:
-        front = self.fronts.pop(name, None)
+    def _stop_listener(self, name: str) -> None:
+        front = self.grpc_listeners.pop(name, None)
         if front is not None:
             front.stop()
-            self._leaving.append(front)
-        jobs = self.clients.pop(name, None)
-        if jobs is not None:
-            jobs.on_drained = jobs.listener.close
-            jobs.stop()
-
-    def _clear(self) -> None:
-        """Forget replaced parts once they have finished."""
-        for running in list(self._retired):
+            self._stopping_fronts.append(front)
+        downstream = self.job_listeners.pop(name, None)
+        if downstream is not None:
+            downstream.on_drained = downstream.listener.close
+            downstream.stop()
+
+    def _remove_finished(self) -> None:
+        """Drop replaced pools and listeners that have finished."""
+        for running in list(self._retired_pools):
             if not running.host.tracked_requests:
-                if isinstance(running.back, Calls):
-                    running.back.close()
+                if isinstance(running.transport, Calls):
+                    running.transport.close()
                 running.discovery.watch(False)
-                self._retired.remove(running)
-        self._leaving = [front for front in self._leaving if not front.idle]
-        if self._retired or self._leaving:
-            self._loop.call_at(self._loop.now() + LOOK, self._clear)
+                self._retired_pools.remove(running)
+        self._stopping_fronts = [front for front in self._stopping_fronts if not front.idle]
+        if self._retired_pools or self._stopping_fronts:
+            self._loop.call_at(self._loop.now() + POLL_INTERVAL_US, self._remove_finished)
 
     # Stopping
 
     def stop(self) -> None:
-        """Nothing new; what is out finishes, bounded by each listener's drain; then the loop stops."""
+        """Accept nothing new, finish open requests within each listener's drain time, then stop the loop."""
         if not self._lifecycle.end(self._loop.now(), 0):
             return
         self.health.change(False)
-        self.moved()
-        for front in self.fronts.values():
+        self.on_phase_change()
+        for front in self.grpc_listeners.values():
             front.stop()
-        for each in self.clients.values():
+        for each in self.job_listeners.values():
             each.stop()
-        self._leave()
+        self._stop_when_idle()
 
-    def _leave(self) -> None:
-        if all(front.idle for front in self.fronts.values()) and self._left >= set(self.clients):
-            logger.bind(event="stopped").info("all is answered, leaving")
+    def _stop_when_idle(self) -> None:
+        if all(front.idle for front in self.grpc_listeners.values()) and self._drained_job_listeners >= set(
+            self.job_listeners
+        ):
+            logger.bind(event="stopped").info("all requests are answered, stopping")
             self._loop.stop()
         else:
-            self._loop.call_at(self._loop.now() + LOOK // 4, self._leave)
+            self._loop.call_at(self._loop.now() + POLL_INTERVAL_US // 4, self._stop_when_idle)
 
 
 def front_limits(listener: Listener) -> FrontLimits:
-    """A listener's limits as its front takes them."""
-    each = listener.limits or ListenerLimits()
+    """Convert the limits of a gRPC listener to those of its `Front`."""
+    limits = listener.limits or ListenerLimits()
     return FrontLimits(
-        each.connections,
-        each.calls,
-        each.message,
-        each.replay,
-        each.memory,
-        each.drain,
-        Limits(streams=each.streams, window=each.window, header_bytes=each.header, idle=each.idle),
+        limits.connections,
+        limits.calls,
+        limits.message,
+        limits.replay,
+        limits.memory,
+        limits.drain,
+        Limits(streams=limits.streams, window=limits.window, header_bytes=limits.header, idle=limits.idle),
     )
--- a/pulleyroute/service/changes.py
+++ b/pulleyroute/service/changes.py
@@ -1,4 +1,4 @@
-"""What a new configuration changes in a running service. Pure: two configurations in, a plan out."""
+"""Compares two configurations and plans the changes to a running service. Pure."""
 
 from __future__ import annotations
 
@@ -10,64 +10,73 @@
 
 
 @dataclass(slots=True)
-class Plan:
-    """Names of pools and listeners by what happens to them; `restart`: keys that only a restart changes."""
+class ChangePlan:
+    """The names of pools and listeners, by what happens to them.
+
+    `needs_restart` lists keys whose change takes effect only after a restart.
+    """
 
     new_pools: list[str] = field(default_factory=list)
     kept_pools: list[str] = field(default_factory=list)
-    gone_pools: list[str] = field(default_factory=list)
+    removed_pools: list[str] = field(default_factory=list)
     new_listeners: list[str] = field(default_factory=list)
     kept_listeners: list[str] = field(default_factory=list)
-    gone_listeners: list[str] = field(default_factory=list)
-    restart: list[str] = field(default_factory=list)
+    removed_listeners: list[str] = field(default_factory=list)
+    needs_restart: list[str] = field(default_factory=list)
 
 
-def plan(old: Config | None, new: Config) -> Plan:
-    """A pool whose decisions' settings change becomes another one, and the old one finishes what it has.
+def plan_changes(old: Config | None, new: Config) -> ChangePlan:
+    """Return what changes between two configurations; `old` is None at the start.
 
-    A listener keeps its connections as long as its address and protocol stay. What carries jobs is bound to
-    its pool by the instances' calls, which come to the listener's address: such a pool stays as it was until
-    a restart.
+    If the settings of a gRPC pool's decision module change, the pool is replaced by a new one, and the old
+    one finishes its open calls. A listener keeps its connections as long as its address and protocol stay
+    the same. A pool of jobs is bound to its listener, because the instances send their callbacks to the
+    listener's address; such a pool keeps its settings until a restart.
     """
-    made = Plan()
+    changes = ChangePlan()
     pools = old.pool if old is not None else {}
     listeners = old.listener if old is not None else {}
     for name, pool in new.pool.items():
-        before = pools.get(name)
-        if old is None or before is None:
-            made.new_pools.append(name)
-        elif _core(before) == _core(pool) and old.job_class == new.job_class:
-            made.kept_pools.append(name)
-        elif before.protocol == "jobs":
-            made.kept_pools.append(name)
-            made.restart.append(f"pool.{name}")
+        previous_pool = pools.get(name)
+        if old is None or previous_pool is None:
+            changes.new_pools.append(name)
+        elif (
+            _without_updatable_parts(previous_pool) == _without_updatable_parts(pool)
+            and old.job_class == new.job_class
+        ):
+            changes.kept_pools.append(name)
+        elif previous_pool.protocol == "jobs":
+            changes.kept_pools.append(name)
+            changes.needs_restart.append(f"pool.{name}")
         else:
-            made.new_pools.append(name)
-            made.gone_pools.append(name)
-    made.gone_pools += [name for name in pools if name not in new.pool]
+            changes.new_pools.append(name)
+            changes.removed_pools.append(name)
+    changes.removed_pools += [name for name in pools if name not in new.pool]
     for name, listener in new.listener.items():
-        was = listeners.get(name)
-        if was is not None and _place(was) == _place(listener):
-            made.kept_listeners.append(name)
+        previous_listener = listeners.get(name)
+        if previous_listener is not None and _identity(previous_listener) == _identity(listener):
+            changes.kept_listeners.append(name)
         else:
-            made.new_listeners.append(name)
-            if was is not None:
-                made.gone_listeners.append(name)
-    made.gone_listeners += [name for name in listeners if name not in new.listener]
+            changes.new_listeners.append(name)
+            if previous_listener is not None:
+                changes.removed_listeners.append(name)
+    changes.removed_listeners += [name for name in listeners if name not in new.listener]
     if old is not None:
-        fixed = ("name", "seed", "limits", "log", "management", "fleet")
-        made.restart += [key for key in fixed if getattr(old, key) != getattr(new, key)]
-    return made
+        restart_only = ("name", "seed", "limits", "log", "management", "fleet")
+        changes.needs_restart += [key for key in restart_only if getattr(old, key) != getattr(new, key)]
+    return changes
 
 
-def _core(pool: Pool) -> Pool:
-    """A pool without what changes in place: its instances, where the list comes from, certificates.
+def _without_updatable_parts(pool: Pool) -> Pool:
+    """Return a pool without what can be updated in place: instances, discovery address and certificates.
 
-    Whether there is a discovery at all stays: the decisions of a pool without one never ask for a list again.
+    Whether the pool uses discovery at all is kept, because the decision module of a pool without discovery
+    never asks for a list again.
     """
-    asks = ("", 0) if pool.discovery is not None else None
-    return msgspec.structs.replace(pool, instance={}, discovery=asks, tls=None)
+    any_discovery = ("", 0) if pool.discovery is not None else None
+    return msgspec.structs.replace(pool, instance={}, discovery=any_discovery, tls=None)
 
 
-def _place(listener: Listener) -> tuple[object, ...]:
+def _identity(listener: Listener) -> tuple[object, ...]:
+    """Return the values of a listener that cannot change without replacing it."""
     return listener.address, listener.protocol, listener.pool, listener.tls is None
--- a/pulleyroute/service/joining.py
+++ b/pulleyroute/service/joining.py
@@ -1,4 +1,4 @@
-"""A service's part in its fleet, where its configuration has one."""
+"""Connects a service to its fleet, if its configuration has a fleet block."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def join(loop: Loop, service: Service, config: Config) -> Agent:
-    """Start the agent; the service serves whatever becomes of it."""
+    """Start the fleet agent and return it. The service keeps serving whatever happens to the agent."""
     fleet = config.fleet
     assert fleet is not None
     place = Place(
@@ -28,8 +28,9 @@
         Bounds(fleet.out, fleet.out_zone, fleet.out_region, fleet.least_serving, fleet.size),
         RunnerBounds(fleet.runners_out, fleet.runners_out_hall, fleet.runners_out_kind),
     )
-    # Not the file's seed: two processes of one file have to differ in what they call themselves.
+    # The seed of the configuration is not used, because two processes started from the same file must choose
+    # different tokens for themselves.
     agent = Agent(loop, BufferPool(), fleet.store, place, service, random.SystemRandom().getrandbits(64))
-    service.moved = agent.moved
+    service.on_phase_change = agent.moved
     agent.start()
     return agent
--- a/pulleyroute/service/withheld.py
+++ b/pulleyroute/service/withheld.py
@@ -1,5 +1,7 @@
-"""Instances that the fleet drains: told to the decisions as if discovery had said that they leave, and asked
-whether anything is out there still."""
+"""Withholds new work from the instances that the fleet drains, and counts the attempts still open there.
+
+The decision module sees such an instance as if discovery had listed it as draining.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +13,10 @@
 
 
 class FleetHost(Host):
-    """A host that can say what is out at one instance."""
+    """A host that can count the open attempts at one instance."""
 
-    def out_at(self, instance: WorkerId) -> int:
-        """How many attempts are out there, those on their way and those being given up among them."""
+    def open_attempts_at(self, instance: WorkerId) -> int:
+        """Return the number of open attempts, including those not sent yet and those being cancelled."""
         return sum(
             1
             for job in self._jobs.values()
@@ -24,38 +26,38 @@
 
 
 class WithheldInstances:
-    """Stands between a discovery client and the decisions. Owns which instances are withheld.
+    """Passes a discovery client's updates to the decision module, with withheld instances as draining.
 
-    `tell` passes a list on to the decisions.
+    Owns the set of withheld instances. `post` passes an update to the decision module.
     """
 
-    def __init__(self, tell: Callable[[WorkerList], None]) -> None:
-        self._tell = tell
-        self._names: frozenset[WorkerId] = frozenset()
-        self._entries: dict[WorkerId, Entry] = {}  # as discovery told them last
+    def __init__(self, post: Callable[[WorkerList], None]) -> None:
+        self._post = post
+        self._withheld: frozenset[WorkerId] = frozenset()
+        self._entries: dict[WorkerId, Entry] = {}  # the last known state according to discovery
         self._version = 0
 
-    def on_list_update(self, news: WorkerList) -> None:
-        """The discovery client's news, passed on as the decisions are to have them."""
-        self._version = news.version
-        if news.kind in (ListKind.FULL, ListKind.CACHED):
+    def on_list_update(self, update: WorkerList) -> None:
+        """Pass on an update of the discovery client, with withheld instances marked as draining."""
+        self._version = update.version
+        if update.kind in (ListKind.FULL, ListKind.CACHED):
             self._entries.clear()
-        self._entries.update((entry.worker, entry) for entry in news.entries)
-        self._tell(replace(news, entries=[self._shown(entry) for entry in news.entries]))
+        self._entries.update((entry.worker, entry) for entry in update.entries)
+        self._post(replace(update, entries=[self._reported(entry) for entry in update.entries]))
 
     def withhold(self, names: frozenset[WorkerId]) -> None:
-        """Withhold these and no others from now on."""
-        if names == self._names:
+        """Withhold work from these instances and no others from now on."""
+        if names == self._withheld:
             return
-        self._names = names
-        # As a list that came otherwise than from discovery: it does not say that discovery can be heard.
-        self._tell(
+        self._withheld = names
+        # The list is marked as cached, because it is no evidence that discovery can be reached.
+        self._post(
             WorkerList(
-                self._version, ListKind.CACHED, [self._shown(entry) for entry in self._entries.values()]
+                self._version, ListKind.CACHED, [self._reported(entry) for entry in self._entries.values()]
             )
         )
 
-    def _shown(self, entry: Entry) -> Entry:
-        if entry.worker in self._names and entry.state is WorkerState.READY:
+    def _reported(self, entry: Entry) -> Entry:
+        if entry.worker in self._withheld and entry.state is WorkerState.READY:
             return replace(entry, state=WorkerState.DRAINING)
         return entry
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -87,7 +87,7 @@
     _, seen = play.arrived()
     old = play.service.pools["apps"].host
     made = play.change(attempts=2)  # the decisions' settings: another pool
-    assert made.new_pools == ["apps"] == made.gone_pools and made.kept_listeners == ["calls"]
+    assert made.new_pools == ["apps"] == made.removed_pools and made.kept_listeners == ["calls"]
     after = client.call()
     _, other = play.arrived()
     assert other.peer is not seen.peer
@@ -98,7 +98,7 @@
     play.loop.skip(3 * SECOND)
     assert (
         not old.tracked_requests
-        and not play.service._retired
+        and not play.service._retired_pools
         and old._dispatcher.now < play.loop.now() - SECOND
     )
 
@@ -150,10 +150,10 @@
 
 def test_what_cannot_be_put_in_force_changes_nothing(tmp_path):
     play = Play(tmp_path)
-    before = play.service.config, dict(play.service.pools), dict(play.service.fronts)
+    before = play.service.config, dict(play.service.pools), dict(play.service.grpc_listeners)
     with socket.create_server(("127.0.0.1", 0)) as taken, pytest.raises(CannotServe, match="cannot listen"):
         play.change(port=taken.getsockname()[1], attempts=1, service="shop.Other")
-    assert (play.service.config, play.service.pools, play.service.fronts) == before
+    assert (play.service.config, play.service.pools, play.service.grpc_listeners) == before
     play.now["port"] = play.port
     call = play.client().call()
     play.arrived()[1].whole().answer(b"")
@@ -205,7 +205,7 @@
     def called(method, path):
         return operate(play.loop, config.management, method, path)
 
-    call = play.client(service.fronts["calls"].address[1]).call()
+    call = play.client(service.grpc_listeners["calls"].address[1]).call()
     play.arrived()[1].whole().answer(b"done")
     assert call.status() == 0
     text = called("GET", "/status/metrics")[1].decode()
@@ -237,9 +237,9 @@
     )
     play.path.write_text(text)
     reload(play.service, play.path)
-    assert not play.service.clients["jobs"].lifecycle.ready
+    assert not play.service.job_listeners["jobs"].lifecycle.ready
     play.path.write_text("{")
     reload(play.service, play.path)
     assert (play.service.metrics.conf_loaded, play.service.metrics.conf_invalid) == (1, 1)
     play.service.active()
-    assert play.service.clients["jobs"].lifecycle.ready
+    assert play.service.job_listeners["jobs"].lifecycle.ready
