--- a/pulleyroute/cli/__init__.py
+++ b/pulleyroute/cli/__init__.py
@@ -6,7 +6,7 @@
 
 
 def main() -> None:
-    """The console script."""
+    """Run the command; the entry point of the console script."""
     try:
         from pulleyroute.cli.app import app
     except ImportError as exc:
--- a/pulleyroute/cli/app.py
+++ b/pulleyroute/cli/app.py
@@ -1,4 +1,4 @@
-"""The command and its subcommands, one module each."""
+"""The `pulleyroute` command with its subcommands, each of which has a module of its own."""
 
 from __future__ import annotations
 
--- a/pulleyroute/cli/campaign.py
+++ b/pulleyroute/cli/campaign.py
@@ -1,4 +1,4 @@
-"""`pulleyroute campaign`."""
+"""The `pulleyroute campaign` commands."""
 
 from __future__ import annotations
 
@@ -8,44 +8,44 @@
 
 import typer
 
-HELP = "Play schedules of faults on a fleet of real processes on this machine, and judge them from outside."
+HELP = "Inject schedules of faults into a fleet of real processes on this machine, and check it from outside."
 app = typer.Typer(help=HELP, no_args_is_help=True)
 
 
-Seed = Annotated[int, typer.Option(min=0, help="Of the first run; the others count on from it.")]
+Seed = Annotated[int, typer.Option(min=0, help="Seed of the first run; each further run adds 1.")]
 Runs = Annotated[int, typer.Option(min=1, max=100_000)]
-Jobs = Annotated[int, typer.Option(min=1, max=64, help="Runs side by side.")]
+Jobs = Annotated[int, typer.Option(min=1, max=64, help="Runs at the same time.")]
 Out = Annotated[Path | None, typer.Option(help="Keep the logs of all processes in this folder.")]
 
 
-def _play(kind: str, seed: int, runs: int, jobs: int, out: Path | None) -> None:
+def _run_campaign(kind: str, seed: int, runs: int, jobs: int, out: Path | None) -> None:
     from pulleyroute.lab.fleet.campaign import Outcome, campaign
     from pulleyroute.lab.fleet.schedule import DRAWN
 
-    def tell(outcome: Outcome) -> None:
-        ends = ", ".join(f"{count} {ending}" for ending, count in sorted(outcome.endings.items()))
+    def print_outcome(outcome: Outcome) -> None:
+        endings_text = ", ".join(f"{count} {ending}" for ending, count in sorted(outcome.endings.items()))
         release = f" release {outcome.ended};" if outcome.ended else ""
         print(
             f"seed {outcome.seed}: faults {outcome.faults}, planned out {outcome.out}, most at once "
-            f"{outcome.most_out}, runners drained {outcome.drained};{release} {ends}; "
+            f"{outcome.most_out}, runners drained {outcome.drained};{release} {endings_text}; "
             f"broken {len(outcome.broken)}",
             flush=True,
         )
         if outcome.broken:
             for line in [
                 *outcome.broken,
-                "what was done:",
+                "scheduled actions:",
                 *map(str, DRAWN[kind](outcome.seed).deeds),
-                "what was seen:",
+                "observed:",
                 *outcome.log,
             ]:
                 print(f"  {line}")
             print(
-                f"  again: pulleyroute campaign {kind} --seed {outcome.seed} --runs 1 --out FOLDER",
+                f"  repeat with: pulleyroute campaign {kind} --seed {outcome.seed} --runs 1 --out FOLDER",
                 flush=True,
             )
 
-    ended = campaign(kind, seed, runs, jobs, tell, out)
+    ended = campaign(kind, seed, runs, jobs, print_outcome, out)
     broken = sum(1 for outcome in ended if outcome.broken)
     print(f"campaign {kind}: runs {len(ended)}, faults {sum(each.faults for each in ended)}, broken {broken}")
     if broken:
@@ -54,17 +54,17 @@
 
 @app.command(epilog="Example:\n\n`pulleyroute campaign drains --seed 1 --runs 4 --out /tmp/drains`")
 def drains(seed: Seed = 1, runs: Runs = 1, jobs: Jobs = 1, out: Out = None) -> None:
-    """Dispatchers drained and restarted, and runners drained, while all of them and their store are hurt.
+    """Drain and restart dispatchers, and drain runners, during faults of all of them and of the store.
 
-    Exit status 1 if anything was broken. A run takes about half a minute.
+    Exit status 1 if any rule was broken. A run takes about half a minute.
     """
-    _play("drains", seed, runs, jobs, out)
+    _run_campaign("drains", seed, runs, jobs, out)
 
 
 @app.command(epilog="Example:\n\n`pulleyroute campaign releases --seed 1 --runs 4 --jobs 4`")
 def releases(seed: Seed = 1, runs: Runs = 1, jobs: Jobs = 1, out: Out = None) -> None:
-    """Releases of good and bad versions while members and store are hurt.
+    """Release good and bad versions during faults of the members and the store.
 
-    Exit status 1 if anything was broken. A run takes about a minute.
+    Exit status 1 if any rule was broken. A run takes about a minute.
     """
-    _play("releases", seed, runs, jobs, out)
+    _run_campaign("releases", seed, runs, jobs, out)
--- a/pulleyroute/cli/check.py
+++ b/pulleyroute/cli/check.py
@@ -1,4 +1,4 @@
-"""`pulleyroute check`."""
+"""The `pulleyroute check` command."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 
 from pulleyroute.config import InvalidConfig, load
 
-HELP = "Check a configuration without starting anything; every mistake is told at once."
+HELP = "Check a configuration without starting anything; all mistakes are reported at once."
 EXAMPLES = "Examples:\n\n`pulleyroute check site.hcl`\n\n`pulleyroute check --json site.hcl`"
 
 
 def run(
     file: Annotated[Path, typer.Argument(help="The configuration, in HCL.")],
-    as_json: Annotated[bool, typer.Option("--json", help="For a program to read.")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Print the result as JSON.")] = False,
 ) -> None:
+    """Check a configuration; exits with status 2 if it has mistakes."""
     try:
         config = load(file)
     except InvalidConfig as exc:
--- a/pulleyroute/cli/demo.py
+++ b/pulleyroute/cli/demo.py
@@ -1,4 +1,4 @@
-"""`pulleyroute demo`."""
+"""The `pulleyroute demo` command."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from rich.table import Table
 
 HELP = (
-    "Start the dispatcher on embedded stand-ins, play jobs and gRPC calls through a drain and a "
-    "crash, and show what became of them."
+    "Start the dispatcher with embedded stand-ins, send jobs and gRPC calls during a drain and a crash "
+    "of an instance, and show how the requests ended."
 )
 EXAMPLES = "Examples:\n\n`pulleyroute demo`\n\n`pulleyroute demo --seconds 20 --rate 100 --json`"
 
 
 def run(
     seconds: Annotated[float, typer.Option(min=2, max=300, help="How long the load lasts.")] = 6.0,
-    rate: Annotated[float, typer.Option(min=1, max=500, help="Requests a second.")] = 60.0,
-    seed: Annotated[int, typer.Option(help="Of the load.")] = 1,
-    as_json: Annotated[bool, typer.Option("--json", help="For a program to read.")] = False,
+    rate: Annotated[float, typer.Option(min=1, max=500, help="Requests per second.")] = 60.0,
+    seed: Annotated[int, typer.Option(help="Seed of the load.")] = 1,
+    as_json: Annotated[bool, typer.Option("--json", help="Print the result as JSON.")] = False,
 ) -> None:
+    """Run the demo and print its results; exits with status 1 if a rule was broken."""
     try:
         from pulleyroute.lab.demo import Demo
     except ImportError as exc:
@@ -32,16 +33,16 @@
     demo = Demo(rate, seconds, seed)
     console = Console(stderr=as_json)
     with Progress(
-        TextColumn("playing"),
+        TextColumn("running"),
         BarColumn(),
         MofNCompleteColumn(),
         TextColumn("answered"),
         TimeRemainingColumn(),
         console=console,
     ) as progress:
-        bar = progress.add_task("", total=int(rate * seconds))
+        progress_bar = progress.add_task("", total=int(rate * seconds))
         try:
-            result = demo.run(lambda share, done: progress.update(bar, completed=done))
+            result = demo.run(lambda share, done: progress.update(progress_bar, completed=done))
         except RuntimeError as exc:
             print(f"pulleyroute: {exc}", file=sys.stderr)
             raise typer.Exit(1) from None
@@ -69,7 +70,7 @@
             )
         )
     else:
-        table = Table(title="One box drained at a third, one app killed at half")
+        table = Table(title="One box drained after a third of the run, one app killed after half of it")
         for name in names:
             table.add_column(name, justify="left" if name == "kind" else "right")
         for row in rows:
@@ -78,7 +79,7 @@
             )
         console.print(table)
         shown = ", ".join(f"{name.removeprefix('app.')} {value}" for name, value in result.metrics.items())
-        console.print(f"the admin listener said: {shown}", highlight=False)
+        console.print(f"counters of the admin listener: {shown}", highlight=False)
         console.print(f"rules broken: {len(result.broken)}", style="red" if result.broken else "green")
         for line in result.broken[:10]:
             console.print(f"  {line}")
--- a/pulleyroute/cli/load.py
+++ b/pulleyroute/cli/load.py
@@ -1,4 +1,4 @@
-"""`pulleyroute load`."""
+"""The `pulleyroute load` command."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from rich.table import Table
 
 HELP = (
-    "Load a dispatcher on this machine with jobs or gRPC calls, by a schedule (open loop) or with so "
-    "many clients (closed loop), and show what became of it. In an open loop times count from when a "
-    "request was due."
+    "Send jobs or gRPC calls to a dispatcher on this machine, by a schedule (open loop) or with a fixed "
+    "number of clients (closed loop), and show how the requests ended. In an open loop, times count from "
+    "when a request was due."
 )
 EXAMPLES = (
     "Examples:\n\n`pulleyroute load jobs 127.0.0.1:8080 --mix balance-check=4,card-charge=1 "
@@ -28,7 +28,7 @@
     what: Annotated[Literal["jobs", "grpc"], typer.Argument(help="What to send.")],
     address: Annotated[str, typer.Argument(help="A loopback address, HOST:PORT.")],
     mix: Annotated[
-        str, typer.Option(help="Kinds with shares: NAME=SHARE,... A kind of grpc: service/method.")
+        str, typer.Option(help="Kinds with their shares: NAME=SHARE,... For grpc, a kind is service/method.")
     ],
     shape: Annotated[
         str,
@@ -36,14 +36,21 @@
             help="RATE/SPANs, FROM-TO/SPANs, RATE~SWING@PERIODs/SPANs, burst:N; " "joined by commas."
         ),
     ] = "20/10s",
-    even: Annotated[bool, typer.Option(help="Evenly apart, not Poisson.")] = False,
-    clients: Annotated[int, typer.Option(min=0, max=2000, help="A closed loop with so many.")] = 0,
-    seconds: Annotated[float, typer.Option(min=0.1, max=3600, help="Of a closed loop.")] = 10.0,
-    timeout: Annotated[float, typer.Option(min=0.01, max=600, help="That a client waits, in seconds.")] = 5.0,
-    size: Annotated[int, typer.Option(min=0, max=64 * 1024, help="Bytes of a request.")] = 100,
-    seed: Annotated[int, typer.Option(help="Of arrivals and kinds.")] = 1,
-    as_json: Annotated[bool, typer.Option("--json", help="For a program to read.")] = False,
+    even: Annotated[
+        bool, typer.Option(help="Send at equal intervals instead of as a Poisson process.")
+    ] = False,
+    clients: Annotated[
+        int, typer.Option(min=0, max=2000, help="Clients of a closed loop; 0 for an open loop.")
+    ] = 0,
+    seconds: Annotated[float, typer.Option(min=0.1, max=3600, help="How long a closed loop lasts.")] = 10.0,
+    timeout: Annotated[
+        float, typer.Option(min=0.01, max=600, help="How long a client waits, in seconds.")
+    ] = 5.0,
+    size: Annotated[int, typer.Option(min=0, max=64 * 1024, help="Size of a request in bytes.")] = 100,
+    seed: Annotated[int, typer.Option(help="Seed of the arrivals and kinds.")] = 1,
+    as_json: Annotated[bool, typer.Option("--json", help="Print the result as JSON.")] = False,
 ) -> None:
+    """Generate the load and print the report; exits with status 2 if an argument is not valid."""
     try:
         from pulleyroute.lab import arrivals, load
     except ImportError as exc:
@@ -74,8 +81,10 @@
         TimeElapsedColumn(),
         console=console,
     ) as progress:
-        bar = progress.add_task("", total=1.0, done=0)
-        report = asyncio.run(play(lambda share, done: progress.update(bar, completed=share, done=done)))
+        progress_bar = progress.add_task("", total=1.0, done=0)
+        report = asyncio.run(
+            play(lambda share, done: progress.update(progress_bar, completed=share, done=done))
+        )
     if as_json:
         print(
             json.dumps(
@@ -98,7 +107,7 @@
     console.print(table)
     if report.unsent or report.late > 0.1:
         console.print(
-            f"the generator itself fell behind: {report.unsent} not sent, "
-            f"{report.late:.2f} s late at worst",
+            f"the load generator fell behind: {report.unsent} not sent, "
+            f"others up to {report.late:.2f} s late",
             style="yellow",
         )
--- a/pulleyroute/cli/version.py
+++ b/pulleyroute/cli/version.py
@@ -1,4 +1,4 @@
-"""`pulleyroute version`."""
+"""The `pulleyroute version` command."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 HELP = "Print the version."
 
 
-def run(as_json: Annotated[bool, typer.Option("--json", help="For a program to read.")] = False) -> None:
+def run(as_json: Annotated[bool, typer.Option("--json", help="Print the result as JSON.")] = False) -> None:
+    """Print the version of the program and of Python."""
     if as_json:
         print(json.dumps({"version": __version__, "python": platform.python_version()}))
     else:
