--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,9 +1,10 @@
-"""A toy discovery with two toy instances, to try the dispatcher by hand. Only for that: it keeps no rules.
+"""A minimal discovery with two minimal instances, to try the dispatcher by hand.
 
     python -m examples.toy_server [HOST]
 
-from the root, listens on HOST (127.0.0.1 unless named): discovery on port 8500, instances on 9001 and 9002.
-It stands on the package's own loop, so it also shows how a coroutine on it looks.
+Run from the root of the repository, it listens on HOST (default 127.0.0.1): discovery on port 8500, the
+instances on ports 9001 and 9002. It is for trials only, because it does not follow the rules of a real
+instance. It runs on the package's own event loop, and so also shows how coroutines are written for it.
 """
 
 from __future__ import annotations
@@ -21,22 +22,23 @@
 DISCOVERY_PORT = 8500
 INSTANCES = {"s-one": 9001, "s-two": 9002}
 DISPATCHER_PORT = 8080
-RUNNING = 50_000  # microseconds that a job takes
-SLOTS = 2
+JOB_TIME_US = 50_000
+SLOTS = 2  # jobs that an instance reports to run at the same time
 
 
-class Toy:
-    """All parties but the client and the dispatcher."""
+class ToyServer:
+    """Discovery and the instances on one event loop."""
 
     def __init__(self, host: str) -> None:
         self.loop = Loop(lambda name, exc: print(f"{name}: {exc!r}", flush=True))
         self.pool = BufferPool()
         self.host = host
-        self.running = dict.fromkeys(INSTANCES, 0)
+        self.running = dict.fromkeys(INSTANCES, 0)  # number of jobs by instance
         for name, port in [("discovery", DISCOVERY_PORT), *INSTANCES.items()]:
-            self.loop.spawn(self.listening(name, port), name)
+            self.loop.spawn(self.accept_connections(name, port), name)
 
-    def listening(self, name: str, port: int) -> Coroutine[None]:
+    def accept_connections(self, name: str, port: int) -> Coroutine[None]:
+        """Accept connections to discovery or an instance, and serve each in a task of its own."""
         listener = socket.create_server((self.host, port))
         listener.setblocking(False)
         print(f"{name} listens on {self.host}:{port}", flush=True)
@@ -44,28 +46,29 @@
             yield Wait(listener.fileno(), READABLE)
             try:
                 sock, _ = listener.accept()
-            except BlockingIOError:  # readiness is a hint
+            except BlockingIOError:  # the connection is gone again, although the socket was readable
                 continue
             sock.setblocking(False)
             stream = Stream(self.loop, self.pool, sock, server=True)
-            self.loop.spawn(self.serving(name, stream), f"connection to {name}")
+            self.loop.spawn(self.serve_connection(name, stream), f"connection to {name}")
 
-    def serving(self, name: str, stream: Stream) -> Coroutine[None]:
+    def serve_connection(self, name: str, stream: Stream) -> Coroutine[None]:
+        """Answer the requests on one connection until it is closed."""
         try:
             while (message := (yield from stream.request(None))) is not None:
                 path = message.target.decode()
                 if name == "discovery" and "watch" in path:
-                    yield from self.watched(stream)
+                    yield from self.serve_watch(stream)
                 elif name == "discovery":
-                    yield from stream.answer(200, self.table(), [], False, None)
+                    yield from stream.answer(200, self.instance_list(), [], False, None)
                 elif path == "/-/load":
-                    held = self.running[name]
-                    load = f"queue={max(0, held - SLOTS)},inflight={held},x0={max(0, SLOTS - held)}"
+                    in_hand = self.running[name]
+                    load = f"queue={max(0, in_hand - SLOTS)},inflight={in_hand},x0={max(0, SLOTS - in_hand)}"
                     yield from stream.answer(200, load.encode(), [], False, None)
                 elif message.method == b"POST":
                     yield from stream.answer(202, b"", [], False, None)
                     txn = (message.single_header(b"x-txn") or b"").decode()
-                    self.loop.spawn(self.job(name, txn, message.body), f"job {txn}")
+                    self.loop.spawn(self.run_job(name, txn, message.body), f"job {txn}")
                 else:
                     yield from stream.answer(404, b"", [], False, None)
         except (ConnectionFailed, Malformed):
@@ -73,7 +76,8 @@
         finally:
             stream.close()
 
-    def table(self) -> bytes:
+    def instance_list(self) -> bytes:
+        """Return the list of instances as discovery's JSON."""
         return json.dumps(
             {
                 "revision": 1,
@@ -94,28 +98,30 @@
             }
         ).encode()
 
-    def watched(self, stream: Stream) -> Coroutine[None]:
-        """The whole list, then an empty line every 2 s."""
-        line = self.table() + b"\n"
+    def serve_watch(self, stream: Stream) -> Coroutine[None]:
+        """Send the whole list, then an empty line every 2 s."""
+        line = self.instance_list() + b"\n"
         yield from stream.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", None)
         while True:
             yield from stream.send(b"%x\r\n%s\r\n" % (len(line), line), None)
             line = b"\n"
             yield Wait(until=self.loop.now() + 2_000_000)
 
-    def job(self, name: str, txn: str, body: bytes) -> Coroutine[None]:
+    def run_job(self, name: str, txn: str, body: bytes) -> Coroutine[None]:
+        """Run a job, and report its start and its end to the dispatcher."""
         self.running[name] += 1
-        yield from self.call(name, txn, {"state": "started"})
-        yield Wait(until=self.loop.now() + RUNNING)
+        yield from self.send_callback(name, txn, {"state": "started"})
+        yield Wait(until=self.loop.now() + JOB_TIME_US)
         self.running[name] -= 1
         result = f"{name} did {body.decode(errors='replace')}"
-        yield from self.call(name, txn, {"state": "done", "result": result})
+        yield from self.send_callback(name, txn, {"state": "done", "result": result})
 
-    def call(self, name: str, txn: str, news: dict[str, str]) -> Coroutine[None]:
-        body = json.dumps({"id": txn, "from": name, **news}).encode()
-        until = self.loop.now() + 1_000_000
+    def send_callback(self, name: str, txn: str, state: dict[str, str]) -> Coroutine[None]:
+        """Send a callback to the dispatcher; a failure is ignored."""
+        body = json.dumps({"id": txn, "from": name, **state}).encode()
+        deadline = self.loop.now() + 1_000_000
         try:
-            stream = yield from connect(self.loop, self.pool, (self.host, DISPATCHER_PORT), until)
+            stream = yield from connect(self.loop, self.pool, (self.host, DISPATCHER_PORT), deadline)
         except (ConnectionFailed, DeadlineExceeded):
             return
         try:
@@ -124,8 +130,8 @@
                 target=b"/callback",
                 headers=[(b"Host", b"dispatcher"), (b"Content-Length", b"%d" % len(body))],
             )
-            yield from stream.send(stream.frame(head, body), until)
-            yield from stream.response(until)
+            yield from stream.send(stream.frame(head, body), deadline)
+            yield from stream.response(deadline)
         except (ConnectionFailed, DeadlineExceeded, Malformed):
             pass
         finally:
@@ -134,6 +140,6 @@
 
 if __name__ == "__main__":
     try:
-        Toy(sys.argv[1] if len(sys.argv) > 1 else "127.0.0.1").loop.run()
+        ToyServer(sys.argv[1] if len(sys.argv) > 1 else "127.0.0.1").loop.run()
     except KeyboardInterrupt:
         sys.exit(0)
