--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command as people and programs use it, and what the platform's start may import."""
+"""The command as people and programs use it, and the modules that `python -m pulleyroute` may import."""
 
 import json
 import os
@@ -16,31 +16,31 @@
 
 ROOT = Path(__file__).parent.parent
 EXAMPLE = str(ROOT / "examples" / "site.hcl")
-RUN = CliRunner()
+RUNNER = CliRunner()
 
 
 def test_version_and_help():
-    assert __version__ in RUN.invoke(app, ["version"]).output
-    assert json.loads(RUN.invoke(app, ["version", "--json"]).output)["version"] == __version__
-    text = RUN.invoke(app, ["--help"]).output
+    assert __version__ in RUNNER.invoke(app, ["version"]).output
+    assert json.loads(RUNNER.invoke(app, ["version", "--json"]).output)["version"] == __version__
+    text = RUNNER.invoke(app, ["--help"]).output
     assert all(word in text for word in ("serve", "check", "demo", "version", "Exit status"))
-    assert RUN.invoke(app, ["nonsense"]).exit_code == 2
+    assert RUNNER.invoke(app, ["nonsense"]).exit_code == 2
 
 
 def test_check_tells_all_mistakes_and_ends_with_2(tmp_path):
-    assert RUN.invoke(app, ["check", EXAMPLE]).exit_code == 0
-    good = json.loads(RUN.invoke(app, ["check", "--json", EXAMPLE]).output)
+    assert RUNNER.invoke(app, ["check", EXAMPLE]).exit_code == 0
+    good = json.loads(RUNNER.invoke(app, ["check", "--json", EXAMPLE]).output)
     assert good["ok"] and good["config"]["route"]["charges"]["service"] == "shop.Charges"
     path = tmp_path / "bad.hcl"
     path.write_text(Path(EXAMPLE).read_text().replace("effect", "efect"))
-    told = RUN.invoke(app, ["check", str(path)])
-    assert told.exit_code == 2 and told.output.count("did you mean 'effect'?") == 2
-    bad = json.loads(RUN.invoke(app, ["check", "--json", str(path)]).output)
+    result = RUNNER.invoke(app, ["check", str(path)])
+    assert result.exit_code == 2 and result.output.count("did you mean 'effect'?") == 2
+    bad = json.loads(RUNNER.invoke(app, ["check", "--json", str(path)]).output)
     assert not bad["ok"] and {"line", "key", "near"} <= set(bad["problems"][0])
 
 
 @pytest.mark.parametrize(
-    "change, told",
+    "change, message",
     [
         (("effect", "efect"), "did you mean"),
         (
@@ -49,7 +49,7 @@
         ),
     ],
 )
-def test_serve_with_what_cannot_be_used_says_so_in_plain_lines(tmp_path, change, told):
+def test_serve_with_what_cannot_be_used_says_so_in_plain_lines(tmp_path, change, message):
     path = tmp_path / "bad.hcl"
     path.write_text(Path(EXAMPLE).read_text().replace(*change))
     done = subprocess.run(
@@ -60,7 +60,7 @@
         timeout=60,
         check=False,
     )
-    assert done.returncode == 2 and told in done.stderr and "Traceback" not in done.stderr
+    assert done.returncode == 2 and message in done.stderr and "Traceback" not in done.stderr
 
 
 def test_serve_logs_json_lines_reloads_and_stops(tmp_path):
@@ -75,23 +75,23 @@
         stderr=subprocess.PIPE,
     )
 
-    def until(event):
+    def wait_for_event(event):
         for line in process.stderr:
             extra = json.loads(line)["record"]["extra"]
             if extra.get("event") == event:
                 return extra
-        raise AssertionError(f"it ended without {event}")
+        raise AssertionError(f"the process ended without the event {event}")
 
     try:
-        until("started")
+        wait_for_event("started")
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
-        until("config.refused")
+        wait_for_event("config.refused")
         path.write_text(text.replace("slots    = 50", "slots    = 60"))
         process.send_signal(signal.SIGHUP)
-        until("config.reloaded")
+        wait_for_event("config.reloaded")
         process.send_signal(signal.SIGTERM)
-        until("stopped")
+        wait_for_event("stopped")
         assert process.wait(60) == 0
     finally:
         process.kill()
@@ -109,7 +109,7 @@
 
 
 def test_the_platforms_start_imports_nothing_heavy():
-    """`python -m pulleyroute` runs in 32 MB: these and the standard library, nothing of the extras."""
+    """`python -m pulleyroute` runs in 32 MB, so it imports none of the packages that only the extras need."""
     code = (
         "import sys, pulleyroute.__main__\n"
         "tops = {name.partition('.')[0] for name in sys.modules if not name.startswith('_')}\n"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""HCL configurations: what a mistake says, and what a good file becomes."""
+"""HCL configurations: how mistakes are reported, and the settings that a valid file produces."""
 
 from pathlib import Path
 
@@ -11,7 +11,7 @@
 from pulleyroute.interface import Effect, ReportSource
 from pulleyroute.net.discovery import DiscoveryClient
 
-MISSING = ("class", "listener", "pool", "effect")  # told at the line of the block that lacks them
+MISSING = ("class", "listener", "pool", "effect")  # reported at the line of the block that lacks them
 ROOT = Path(__file__).parent.parent
 GOOD = """
 name = "n1"
@@ -64,20 +64,20 @@
 """
 
 
-def read(tmp_path, text):
+def load_text(tmp_path, text):
     path = tmp_path / "site.hcl"
     path.write_text(text)
     return load(path)
 
 
 def mistakes(tmp_path, text):
-    with pytest.raises(InvalidConfig) as caught:
-        read(tmp_path, text)
-    return [str(problem).partition("site.hcl:")[2] for problem in caught.value.problems]
+    with pytest.raises(InvalidConfig) as raised:
+        load_text(tmp_path, text)
+    return [str(problem).partition("site.hcl:")[2] for problem in raised.value.problems]
 
 
 def test_a_good_file_becomes_the_same_settings_as_the_platforms(tmp_path):
-    config = read(tmp_path, GOOD)
+    config = load_text(tmp_path, GOOD)
     assert config.listener["calls"].limits.message == 1024**2 and config.listener["calls"].address[1] == 0
     settings = pool_settings(config, config.pool["apps"])
     assert [(c.name, c.effect, c.aim, c.give_up, c.worth) for c in settings.classes] == [
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, told",
+    "old, new, expected",
     [
         (
             'name = "n1"',
@@ -159,16 +159,16 @@
         ),
     ],
 )
-def test_a_mistake_names_file_line_key_and_what_was_expected(tmp_path, old, new, told):
+def test_a_mistake_names_file_line_key_and_what_was_expected(tmp_path, old, new, expected):
     assert old in GOOD
-    found = mistakes(tmp_path, GOOD.replace(old, new, 1))
-    assert len(found) == len(told)
+    reported = mistakes(tmp_path, GOOD.replace(old, new, 1))
+    assert len(reported) == len(expected)
     lines = (tmp_path / "site.hcl").read_text().split("\n")
-    for line, start in zip(found, told, strict=True):
+    for line, start in zip(reported, expected, strict=True):
         number, _, text = line.partition(": ")
         assert text.startswith(start)
-        word = text.split(":")[0].rsplit(".", 1)[-1]
-        assert word in lines[int(number) - 1] or word in (*MISSING, "syntax")
+        key = text.split(":")[0].rsplit(".", 1)[-1]
+        assert key in lines[int(number) - 1] or key in (*MISSING, "syntax")
 
 
 def test_all_mistakes_are_told_at_once_in_the_order_of_their_lines(tmp_path):
