--- a/pulleyroute/config/load.py
+++ b/pulleyroute/config/load.py
@@ -172,7 +172,7 @@
 
     # Checks that concern several keys or blocks
 
-    def line(self, built: object, key: str) -> int:
+    def line_of(self, built: object, key: str) -> int:
         """Return the line of a key in the file; that of the block if the key is not written there."""
         return self._lines.get((id(built), key)) or self._lines.get((id(built), "")) or 1
 
@@ -180,17 +180,17 @@
         """Check that names refer to existing blocks, and that related values are consistent."""
         if not config.listener:
             self.report(1, "listener", "at least one", "none")
-        taken: dict[tuple[str, int], str] = {}
+        listener_by_address: dict[tuple[str, int], str] = {}
         for name, listener in config.listener.items():
             path = f"listener.{name}"
-            if listener.address in taken and listener.address[1]:
+            if listener.address in listener_by_address and listener.address[1]:
                 self.report(
-                    self.line(listener, "address"),
+                    self.line_of(listener, "address"),
                     f"{path}.address",
                     "an address that no other listener has",
-                    f"that of listener {taken[listener.address]!r}",
+                    f"that of listener {listener_by_address[listener.address]!r}",
                 )
-            taken[listener.address] = name
+            listener_by_address[listener.address] = name
             if listener.protocol == "jobs":
                 pool = config.pool.get(listener.pool)
                 if pool is None or pool.protocol != "jobs":
@@ -198,18 +198,18 @@
                         other for other, candidate in config.pool.items() if candidate.protocol == "jobs"
                     ]
                     self._report_unknown_name(
-                        self.line(listener, "pool"), f"{path}.pool", "a pool of jobs", listener.pool, names
+                        self.line_of(listener, "pool"), f"{path}.pool", "a pool of jobs", listener.pool, names
                     )
                 if listener.tls is not None:
                     self.report(
-                        self.line(listener, "tls"),
+                        self.line_of(listener, "tls"),
                         f"{path}.tls",
                         "protocol grpc, which tls requires",
                         "protocol jobs",
                     )
             elif listener.pool:
                 self.report(
-                    self.line(listener, "pool"),
+                    self.line_of(listener, "pool"),
                     f"{path}.pool",
                     "no pool, because routes select the pools of grpc calls",
                     "a pool",
@@ -217,30 +217,39 @@
         for name, pool in config.pool.items():
             path = f"pool.{name}"
             if pool.discovery is None and not pool.instance:
-                self.report(self.line(pool, ""), path, "discovery or an instance", "neither")
+                self.report(self.line_of(pool, ""), path, "discovery or an instance", "neither")
             if pool.discovery is not None and pool.instance:
                 self.report(
-                    self.line(pool, "instance"), f"{path}.instance", "either discovery or instances", "both"
+                    self.line_of(pool, "instance"),
+                    f"{path}.instance",
+                    "either discovery or instances",
+                    "both",
                 )
             if pool.number >= pool.dispatchers:
                 self.report(
-                    self.line(pool, "number"), f"{path}.number", "less than dispatchers", str(pool.number)
+                    self.line_of(pool, "number"), f"{path}.number", "less than dispatchers", str(pool.number)
                 )
         for name, each in config.job_class.items():
             if each.give_up < each.aim:
                 self.report(
-                    self.line(each, "give_up"), f"class.{name}.give_up", "at least aim", f"{each.give_up} us"
+                    self.line_of(each, "give_up"),
+                    f"class.{name}.give_up",
+                    "at least aim",
+                    f"{each.give_up} us",
                 )
             if each.effect != "keyed" and each.repeat_window:
                 self.report(
-                    self.line(each, "repeat_window"),
+                    self.line_of(each, "repeat_window"),
                     f"class.{name}.repeat_window",
                     "effect keyed, which repeat_window requires",
                     f"effect {each.effect}",
                 )
         if config.fleet is not None and config.fleet.lease % 1_000_000:
             self.report(
-                self.line(config.fleet, "lease"), "fleet.lease", "whole seconds", f"{config.fleet.lease} us"
+                self.line_of(config.fleet, "lease"),
+                "fleet.lease",
+                "whole seconds",
+                f"{config.fleet.lease} us",
             )
         self._check_routes(config)
 
@@ -252,11 +261,11 @@
             if pool is None or pool.protocol != "grpc":
                 names = [other for other, candidate in config.pool.items() if candidate.protocol == "grpc"]
                 self._report_unknown_name(
-                    self.line(route, "pool"), f"{path}.pool", "a pool of grpc", route.pool, names
+                    self.line_of(route, "pool"), f"{path}.pool", "a pool of grpc", route.pool, names
                 )
             if route.job_class not in config.job_class:
                 self._report_unknown_name(
-                    self.line(route, "job_class"),
+                    self.line_of(route, "job_class"),
                     f"{path}.class",
                     "a class",
                     route.job_class,
@@ -272,7 +281,10 @@
                     problem = f"{exc}"
             if problem is not None:
                 self.report(
-                    self.line(route, ""), path, "service, service and method, or prefix, each once", problem
+                    self.line_of(route, ""),
+                    path,
+                    "service, service and method, or prefix, each once",
+                    problem,
                 )
         if not config.route and any(each.protocol == "grpc" for each in config.listener.values()):
             self.report(1, "route", "at least one, because a listener has protocol grpc", "none")
--- a/pulleyroute/config/types.py
+++ b/pulleyroute/config/types.py
@@ -195,9 +195,8 @@
     name: str = ""
     protocol: Literal["jobs", "grpc"]
     discovery: Annotated[tuple[str, int] | None, AddressParser()] = None
-    lists: Literal["asked", "pushed"] = (
-        "asked"  # pushed: discovery is an agent on this machine, which sends its list unasked
-    )
+    # With "pushed", `discovery` is the address of an agent beside this process.
+    lists: Literal["asked", "pushed"] = "asked"
     instance: dict[str, Instance] = {}
     attempts: Annotated[int, Meta(ge=1, le=10)] = 4
     slots: Annotated[float, Meta(ge=1, le=100_000)] = 100.0  # calls that an instance accepts at the same time
@@ -262,24 +261,19 @@
     zone: str = ""
     region: str = ""
     version: str = ""  # empty for the version of the program
-    size: Annotated[int, Meta(ge=0, le=100_000)] = (
-        0  # number of members; 0 for the number of registered members
-    )
+    size: Annotated[int, Meta(ge=0, le=100_000)] = 0  # members in all; 0 for the number of registered ones
     lease: Annotated[int, DurationParser(1_000_000)] = 5_000_000  # in whole seconds
-    out: Annotated[Part | None, PartParser()] = (
-        None  # members out of service at the same time, of the whole fleet
-    )
+    # The most members that may be out of service at the same time, in the fleet, a zone and a region.
+    out: Annotated[Part | None, PartParser()] = None
     out_zone: Annotated[Part | None, PartParser()] = None
     out_region: Annotated[Part | None, PartParser()] = None
     least_serving: Annotated[int, Meta(ge=0)] = 1
-    runners_out: Annotated[Part | None, PartParser()] = None  # runners drained at the same time, of each pool
+    # The most runners that may be drained at the same time, in each pool, and in a hall or of a kind in it.
+    runners_out: Annotated[Part | None, PartParser()] = None
     runners_out_hall: Annotated[Part | None, PartParser()] = None
     runners_out_kind: Annotated[Part | None, PartParser()] = None
-    restart_status: Annotated[int, Meta(ge=1, le=255)] = (
-        75  # exit status of a process that is to be restarted
-    )
-    # Receives the version to start next, before the process exits with that status.
-    version_file: str = ""
+    restart_status: Annotated[int, Meta(ge=1, le=255)] = 75  # the exit status that asks for a restart
+    version_file: str = ""  # receives the version to start next, before the process exits with that status
 
 
 class Config(ConfigBlock, kw_only=True):
