--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""HCL configurations: what a mistake says, and what a good file becomes."""
+"""HCL configurations: how mistakes are reported, and the settings that a valid file produces."""
 
 from pathlib import Path
 
@@ -6,12 +6,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pulleyroute.config import Invalid, load, pool_settings
-from pulleyroute.config.build import known_list
+from pulleyroute.config import InvalidConfig, load, pool_settings
+from pulleyroute.config.build import static_instance_list
 from pulleyroute.interface import Effect, ReportSource
 from pulleyroute.net.discovery import DiscoveryClient
 
-MISSING = ("class", "listener", "pool", "effect")  # told at the line of the block that lacks them
+MISSING = ("class", "listener", "pool", "effect")  # reported at the line of the block that lacks them
 ROOT = Path(__file__).parent.parent
 GOOD = """
 name = "n1"
@@ -64,20 +64,20 @@
 """
 
 
-def read(tmp_path, text):
+def load_text(tmp_path, text):
     path = tmp_path / "site.hcl"
     path.write_text(text)
     return load(path)
 
 
 def mistakes(tmp_path, text):
-    with pytest.raises(Invalid) as caught:
-        read(tmp_path, text)
-    return [str(problem).partition("site.hcl:")[2] for problem in caught.value.problems]
+    with pytest.raises(InvalidConfig) as raised:
+        load_text(tmp_path, text)
+    return [str(problem).partition("site.hcl:")[2] for problem in raised.value.problems]
 
 
 def test_a_good_file_becomes_the_same_settings_as_the_platforms(tmp_path):
-    config = read(tmp_path, GOOD)
+    config = load_text(tmp_path, GOOD)
     assert config.listener["calls"].limits.message == 1024**2 and config.listener["calls"].address[1] == 0
     settings = pool_settings(config, config.pool["apps"])
     assert [(c.name, c.effect, c.aim, c.give_up, c.worth) for c in settings.classes] == [
@@ -87,12 +87,12 @@
     assert settings.max_attempts == 3 and settings.zones[settings.zone] == "leicester"
     assert pool_settings(config, config.pool["boxes"]).report_source is ReportSource.PROBES
     table = DiscoveryClient(None, None, ("127.0.0.1", 1), settings, 0)  # type: ignore[arg-type]
-    table.load_known(known_list(config.pool["apps"], 1))
+    table.load_known(static_instance_list(config.pool["apps"], 1))
     assert table.active(b"a") and not table.active(b"b") and table.member(b"b").address == ("127.0.0.1", 9002)
 
 
 @pytest.mark.parametrize(
-    "old, new, told",
+    "old, new, expected",
     [
         (
             'name = "n1"',
@@ -159,16 +159,16 @@
         ),
     ],
 )
-def test_a_mistake_names_file_line_key_and_what_was_expected(tmp_path, old, new, told):
+def test_a_mistake_names_file_line_key_and_what_was_expected(tmp_path, old, new, expected):
     assert old in GOOD
-    found = mistakes(tmp_path, GOOD.replace(old, new, 1))
-    assert len(found) == len(told)
+    reported = mistakes(tmp_path, GOOD.replace(old, new, 1))
+    assert len(reported) == len(expected)
     lines = (tmp_path / "site.hcl").read_text().split("\n")
-    for line, start in zip(found, told, strict=True):
+    for line, start in zip(reported, expected, strict=True):
         number, _, text = line.partition(": ")
         assert text.startswith(start)
-        word = text.split(":")[0].rsplit(".", 1)[-1]
-        assert word in lines[int(number) - 1] or word in (*MISSING, "syntax")
+        key = text.split(":")[0].rsplit(".", 1)[-1]
+        assert key in lines[int(number) - 1] or key in (*MISSING, "syntax")
 
 
 def test_all_mistakes_are_told_at_once_in_the_order_of_their_lines(tmp_path):
@@ -178,10 +178,10 @@
 
 
 def test_a_file_that_is_not_there_or_no_text_is_a_mistake_too(tmp_path):
-    with pytest.raises(Invalid, match="readable file"):
+    with pytest.raises(InvalidConfig, match="readable file"):
         load(tmp_path / "none.hcl")
     (tmp_path / "x.hcl").write_bytes(b"\xff\xfe")
-    with pytest.raises(Invalid, match="UTF-8"):
+    with pytest.raises(InvalidConfig, match="UTF-8"):
         load(tmp_path / "x.hcl")
 
 
@@ -191,7 +191,7 @@
     path.write_text(GOOD[:at] + put + GOOD[at + cut :])
     try:
         load(path)
-    except Invalid as exc:
+    except InvalidConfig as exc:
         assert exc.problems
 
 
