--- a/benchmarks/box.py
+++ b/benchmarks/box.py
@@ -4,16 +4,16 @@
 
 import time
 
-from pulleyroute.emulator import Book, CallBox
+from pulleyroute.emulator import EventLog, GrpcInstance
 
 
-class NoBook(Book):
+class NoBook(EventLog):
     """A box that is measured against keeps no record."""
 
     def began(self, request: str, kind: str, box: str) -> None: ...
 
 
 if __name__ == "__main__":
-    print(CallBox("box", NoBook(), threads=64).address, flush=True)
+    print(GrpcInstance("box", NoBook(), threads=64).address, flush=True)
     while True:
         time.sleep(3600)
--- a/benchmarks/grpc_matrix.py
+++ b/benchmarks/grpc_matrix.py
@@ -17,7 +17,7 @@
 import grpc
 
 from benchmarks.fixture import certificates, channel, machine, program
-from pulleyroute.emulator import Book, CallBox
+from pulleyroute.emulator import EventLog, GrpcInstance
 
 KINDS = ("Unary", "Gather", "Spread", "Echo")
 HOP = ("user-agent", "accept-encoding")  # grpcio's own
@@ -161,7 +161,7 @@
     credentials = None
     if files is not None:
         credentials = grpc.ssl_server_credentials([(files.key.read_bytes(), files.certificate.read_bytes())])
-    box = CallBox("box", Book(), credentials=credentials)
+    box = GrpcInstance("box", EventLog(), credentials=credentials)
     try:
         with (
             program(folder, {"box": box.address}, files) as started,
--- a/pulleyroute/emulator/__init__.py
+++ b/pulleyroute/emulator/__init__.py
@@ -3,8 +3,8 @@
 Threads are fine here: none of it runs in the dispatcher. Needs the extra `lab` for the gRPC boxes.
 """
 
-from pulleyroute.emulator.book import Book, Run
-from pulleyroute.emulator.calls import CallBox
-from pulleyroute.emulator.jobs import Discovery, JobBox
+from pulleyroute.emulator.book import EventLog, RecordedAttempt
+from pulleyroute.emulator.calls import GrpcInstance
+from pulleyroute.emulator.jobs import Discovery, ThreadedRunner
 
-__all__ = ["Book", "CallBox", "Discovery", "JobBox", "Run"]
+__all__ = ["Discovery", "EventLog", "GrpcInstance", "RecordedAttempt", "ThreadedRunner"]
--- a/pulleyroute/emulator/book.py
+++ b/pulleyroute/emulator/book.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Run:
+class RecordedAttempt:
     """One attempt that a box began. `at` in seconds of the monotonic clock."""
 
     request: str
@@ -18,10 +18,10 @@
 
 
 @dataclass(slots=True)
-class Book:
+class EventLog:
     """Shared by all stand-ins of one run; owns the record. Times in seconds of the monotonic clock."""
 
-    runs: list[Run] = field(default_factory=list)
+    runs: list[RecordedAttempt] = field(default_factory=list)
     drained: dict[str, float] = field(default_factory=dict)  # box: when discovery told of its drain
     asked: dict[str, tuple[str, float]] = field(default_factory=dict)  # request: its kind, and when
     answers: list[tuple[str, str, float]] = field(
@@ -32,7 +32,7 @@
 
     def began(self, request: str, kind: str, box: str) -> None:
         with self._lock:
-            self.runs.append(Run(request, kind, box, time.monotonic()))
+            self.runs.append(RecordedAttempt(request, kind, box, time.monotonic()))
 
     def hear(self, request: str) -> None:
         with self._lock:
--- a/pulleyroute/emulator/calls.py
+++ b/pulleyroute/emulator/calls.py
@@ -24,7 +24,7 @@
 
 import grpc
 
-from pulleyroute.emulator.book import Book
+from pulleyroute.emulator.book import EventLog
 
 CODES = {code.value[0]: code for code in grpc.StatusCode}
 OPTIONS = [
@@ -35,11 +35,11 @@
 ]
 
 
-class CallBox(grpc.GenericRpcHandler):  # type: ignore[misc]
+class GrpcInstance(grpc.GenericRpcHandler):  # type: ignore[misc]
     """One box. Methods end in Unary, Gather (client streams), Spread (server streams) or Echo (both)."""
 
     def __init__(
-        self, name: str, book: Book, threads: int = 32, credentials: Any = None, mean_ms: float = 0.0
+        self, name: str, book: EventLog, threads: int = 32, credentials: Any = None, mean_ms: float = 0.0
     ) -> None:
         self.name, self._book, self._mean = name, book, mean_ms / 1000
         self._server = grpc.server(futures.ThreadPoolExecutor(threads), options=OPTIONS)
--- a/pulleyroute/emulator/jobs.py
+++ b/pulleyroute/emulator/jobs.py
@@ -11,7 +11,7 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Any
 
-from pulleyroute.emulator.book import Book
+from pulleyroute.emulator.book import EventLog
 
 LONGEST_HASTE = 60.0  # seconds that a 202 waits for its job's end
 
@@ -107,13 +107,13 @@
         self._server.server_close()
 
 
-class JobBox:
+class ThreadedRunner:
     """Takes jobs, runs `slots` of them at once for some time, calls back at the dispatcher's address."""
 
     def __init__(
         self,
         name: str,
-        book: Book,
+        book: EventLog,
         callback: str,
         slots: int = 4,
         mean_ms: float = 20.0,
--- a/pulleyroute/lab/demo.py
+++ b/pulleyroute/lab/demo.py
@@ -22,7 +22,7 @@
 import grpc
 from hdrh.histogram import HdrHistogram
 
-from pulleyroute.emulator import Book, CallBox, Discovery, JobBox
+from pulleyroute.emulator import Discovery, EventLog, GrpcInstance, ThreadedRunner
 from pulleyroute.lab.referee import ENDINGS, Kind
 from pulleyroute.lab.verdict import verdict
 
@@ -130,7 +130,7 @@
 
     def __init__(self, rate: float = 60.0, seconds: float = 6.0, seed: int = 1) -> None:
         self.rate, self.seconds, self.random = rate, seconds, random.Random(seed)
-        self.book = Book()
+        self.book = EventLog()
         self.rows = {name: Row() for name in ("balance-check", "card-charge", "shop.Look", "shop.Charges")}
         self.kinds: dict[str, str] = {}
         self._lock = threading.Lock()
@@ -141,8 +141,8 @@
         answer."""
         jobs, calls, admin = (f"127.0.0.1:{free_port()}" for _ in range(3))
         discovery = Discovery()
-        boxes = [JobBox(f"box-{i}", self.book, jobs, seed=i) for i in range(4)]
-        apps = [CallBox(f"app-{i}", self.book, mean_ms=15) for i in range(3)]
+        boxes = [ThreadedRunner(f"box-{i}", self.book, jobs, seed=i) for i in range(4)]
+        apps = [GrpcInstance(f"app-{i}", self.book, mean_ms=15) for i in range(3)]
         for box in boxes:
             discovery.put(box.name, box.address)
         with tempfile.TemporaryDirectory() as folder:
@@ -199,8 +199,8 @@
         jobs: str,
         calls: str,
         discovery: Discovery,
-        boxes: list[JobBox],
-        apps: list[CallBox],
+        boxes: list[ThreadedRunner],
+        apps: list[GrpcInstance],
         tick: Callable[[float, int], None],
     ) -> Result:
         channel = grpc.insecure_channel(calls)
--- a/pulleyroute/lab/upgrade.py
+++ b/pulleyroute/lab/upgrade.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from pulleyroute.emulator import Book, Discovery, JobBox
+from pulleyroute.emulator import Discovery, EventLog, ThreadedRunner
 from pulleyroute.lab.demo import free_port
 from pulleyroute.lab.referee import ENDINGS, Breach, Kind
 from pulleyroute.lab.verdict import verdict
@@ -175,7 +175,7 @@
 class Client(threading.Thread):
     """Asks again and again on the connection that it keeps."""
 
-    def __init__(self, name: str, address: str, book: Book, over: threading.Event, give_up: int) -> None:
+    def __init__(self, name: str, address: str, book: EventLog, over: threading.Event, give_up: int) -> None:
         super().__init__(daemon=True)
         self._mark, self._address, self._book, self._over = name, address, book, over
         self._give_up = give_up
@@ -208,7 +208,7 @@
     """A platform with the program on it, and its clients, which ask until `over` is set."""
 
     platform: Platform
-    book: Book
+    book: EventLog
     load: list[Client]
     over: threading.Event
 
@@ -218,11 +218,12 @@
     program: list[str], clients: int, give_up: int, slots: int = 6, mean_ms: float = 60, hasty: float = 0.0
 ) -> Iterator[World]:
     """The program in front of three boxes, under load; all of it is ended whatever happens."""
-    book, over, discovery = Book(), threading.Event(), Discovery()
+    book, over, discovery = EventLog(), threading.Event(), Discovery()
     with tempfile.TemporaryDirectory() as folder:
         platform = Platform(Path(folder), program)
         boxes = [
-            JobBox(f"box-{i}", book, platform.address, slots, mean_ms, seed=i, hasty=hasty) for i in range(3)
+            ThreadedRunner(f"box-{i}", book, platform.address, slots, mean_ms, seed=i, hasty=hasty)
+            for i in range(3)
         ]
         load = [Client(f"c{i}", platform.address, book, over, give_up) for i in range(clients)]
         try:
--- a/pulleyroute/lab/verdict.py
+++ b/pulleyroute/lab/verdict.py
@@ -4,14 +4,14 @@
 
 import time
 
-from pulleyroute.emulator import Book
+from pulleyroute.emulator import EventLog
 from pulleyroute.lab.referee import Answered, Asked, Breach, Event, Figures, Kind, Sent, Told, judge
 
 # On one machine the clients' threads share its time with all the rest: theirs is a little late.
 SLACK = 500_000
 
 
-def verdict(book: Book, kinds: dict[str, Kind]) -> list[Breach]:
+def verdict(book: EventLog, kinds: dict[str, Kind]) -> list[Breach]:
     """The rules broken in a run that is over. However many processes served, they are one dispatcher."""
 
     def micros(seconds: float) -> int:
--- a/tests/grpc/test_peers.py
+++ b/tests/grpc/test_peers.py
@@ -10,7 +10,7 @@
 
 from benchmarks.fixture import certificates, channel, program
 from benchmarks.grpc_matrix import Case, Seen, compare, differences, play
-from pulleyroute.emulator import Book, CallBox
+from pulleyroute.emulator import EventLog, GrpcInstance
 from pulleyroute.lab.demo import free_port
 
 
@@ -100,7 +100,7 @@
 
 
 def test_a_certificate_is_rotated_without_dropping_a_connection(tmp_path):
-    box = CallBox("box", Book())
+    box = GrpcInstance("box", EventLog())
     files = certificates(tmp_path)
     config = {"box": box.address}
     try:
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -12,7 +12,7 @@
 from typer.testing import CliRunner
 
 from pulleyroute.cli.app import app
-from pulleyroute.emulator import Book, CallBox
+from pulleyroute.emulator import EventLog, GrpcInstance
 from pulleyroute.lab.arrivals import BadShape, Mix, arrivals, read_mix, read_shape
 from pulleyroute.lab.load import (
     FAILED,
@@ -180,7 +180,7 @@
 
 
 def test_calls_are_loaded_too_and_the_report_can_be_read_by_a_program():
-    box = CallBox("box", Book())
+    box = GrpcInstance("box", EventLog())
     try:
 
         async def play():
