--- a/benchmarks/box.py
+++ b/benchmarks/box.py
@@ -10,7 +10,7 @@
 class NoBook(EventLog):
     """A box that is measured against keeps no record."""
 
-    def began(self, request: str, kind: str, box: str) -> None: ...
+    def record_attempt(self, request: str, kind: str, box: str) -> None: ...
 
 
 if __name__ == "__main__":
--- a/benchmarks/grpc_faults.py
+++ b/benchmarks/grpc_faults.py
@@ -54,9 +54,11 @@
             print("BROKEN", line)
         print("\n".join(table([outcome])))
     if "--write" in sys.argv:
-        acts = "\n".join(
+        endings_played = "\n".join(
             f"| {ending} | {count} |"
-            for ending, count in sorted(sum((each.acts for each in outcomes[1:]), outcomes[0].acts).items())
+            for ending, count in sorted(
+                sum((each.endings_played for each in outcomes[1:]), outcomes[0].endings_played).items()
+            )
         )
         Path("docs/measured/grpc-faults.md").write_text(
             "\n".join(
@@ -76,7 +78,7 @@
                     "",
                     "| ending | attempts |",
                     "| --- | --- |",
-                    acts,
+                    endings_played,
                     "",
                 ]
             )
--- a/pulleyroute/emulator/calls.py
+++ b/pulleyroute/emulator/calls.py
@@ -75,7 +75,7 @@
         pairs = list(context.invocation_metadata())
         asked = dict(pairs)
         if "x-id" in asked:
-            self._book.began(asked["x-id"], path.split("/")[1], self.name)
+            self._book.record_attempt(asked["x-id"], path.split("/")[1], self.name)
         seen = [(key, value) for key, value in pairs if key.startswith("x-")]
         context.set_trailing_metadata(
             [(f"seen-{key}", value) for key, value in seen if not key.startswith("x-id")][:20]
--- a/pulleyroute/emulator/faulty.py
+++ b/pulleyroute/emulator/faulty.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Act:
+class ScriptedResponse:
     """What a box does with one attempt. `never_ran`: it proves so by how it ends. Times in microseconds.
 
     `ending`: "status" (trailers), "only" (trailers-only), "nack", "reset", "refuse", "goaway", "cut",
@@ -40,35 +40,35 @@
 
 
 @dataclass(slots=True)
-class Taken:
+class ReceivedAttempt:
     """One attempt as its box saw it."""
 
     request: str
     box: str
-    act: Act
+    act: ScriptedResponse
     at: int
     attempts: int  # tries before, by the dispatcher's word
     timeout: int  # microseconds that it was given
     body: bytes = b""
     whole: bool = False  # the request's end came
-    told: bool = False  # it has ended in the box's own way
+    ending_sent: bool = False  # it has ended in the box's own way
     given_up: int | None = None  # the code by which the dispatcher ended it
     dropped: bool = False  # above the last id of a GOAWAY: never looked at
 
     @property
     def never_ran(self) -> bool:
         """Proved so, by what went over the wire."""
-        return self.dropped or (self.act.never_ran and self.told)
+        return self.dropped or (self.act.never_ran and self.ending_sent)
 
 
 @dataclass(slots=True)
-class FaultyBox:
+class FaultyInstance:
     """A listener with its connections; `script` says what to do with each attempt."""
 
     loop: Loop
     name: str
-    script: Callable[[str, int], Act]
-    taken: list[Taken] = field(default_factory=list)
+    script: Callable[[str, int], ScriptedResponse]
+    taken: list[ReceivedAttempt] = field(default_factory=list)
     connections: set[Http2Connection] = field(default_factory=set)
     up: bool = False
     address: tuple[str, int] = ("127.0.0.1", 0)
@@ -125,7 +125,7 @@
         attempts = int(seen.get(b"grpc-previous-rpc-attempts", b"0"))
         text = seen.get(b"grpc-timeout", b"0u")
         scale = {b"u": 1, b"m": 1000, b"S": 10**6, b"M": 60 * 10**6, b"H": 3600 * 10**6}
-        taken = Taken(
+        taken = ReceivedAttempt(
             request,
             self.name,
             self.script(request, attempts),
@@ -140,7 +140,7 @@
 class _Attempt:
     """Owns one stream and plays its act."""
 
-    def __init__(self, box: FaultyBox, stream: Stream, taken: Taken, ended: bool) -> None:
+    def __init__(self, box: FaultyInstance, stream: Stream, taken: ReceivedAttempt, ended: bool) -> None:
         self._box, self._stream, self._taken = box, stream, taken
         self._begun = False
         if ended:
@@ -161,7 +161,7 @@
     def sent(self, count: int) -> None: ...
 
     def aborted(self, code: int | None, never_ran: bool, why: str) -> None:
-        if not self._taken.told:
+        if not self._taken.ending_sent:
             self._taken.given_up = -1 if code is None else code
 
     def _later(self) -> None:
@@ -186,7 +186,7 @@
         act, stream = self._taken.act, self._stream
         if self._taken.given_up is not None or not stream.open or act.ending == "silent":
             return
-        self._taken.told = True
+        self._taken.ending_sent = True
         status = [(b"grpc-status", b"%d" % act.code), (b"x-box", self._box.name.encode())]
         if act.pushback:
             status.append((b"grpc-retry-pushback-ms", act.pushback))
@@ -213,7 +213,7 @@
         for taken, stream in [
             (each._taken, each._stream) for each in _attempts(connection) if each._stream.id > last
         ]:
-            taken.told = taken.dropped = True
+            taken.ending_sent = taken.dropped = True
             connection.abandon(stream)
         with contextlib.suppress(OSError):
             connection.inject(GoAwayFrame(0, last_stream_id=last, error_code=0).serialize())
@@ -223,30 +223,30 @@
     return [stream.handler for stream in connection.streams if isinstance(stream.handler, _Attempt)]
 
 
-def draw(rng: random.Random) -> Act:
+def draw(rng: random.Random) -> ScriptedResponse:
     """One act at random: seven in ten go well, the others fail in every way that a box can."""
     kind = rng.random()
     wait = int(rng.expovariate(1 / 20_000))
     if kind < 0.70:
-        return Act("status", 0, rng.randrange(1, 6), wait, rng.random() < 0.1)
+        return ScriptedResponse("status", 0, rng.randrange(1, 6), wait, rng.random() < 0.1)
     if kind < 0.76:
-        return Act("only", rng.randrange(1, 17), 0, wait)
+        return ScriptedResponse("only", rng.randrange(1, 17), 0, wait)
     if kind < 0.82:
-        return Act("status", rng.randrange(0, 17), rng.randrange(0, 4), wait)
+        return ScriptedResponse("status", rng.randrange(0, 17), rng.randrange(0, 4), wait)
     if kind < 0.84:
-        return Act("nack", wait=wait)
+        return ScriptedResponse("nack", wait=wait)
     if kind < 0.88:
-        return Act("reset", rng.choice((0, 1, 2, 5, 8, 11, 12, 13)), rng.randrange(0, 3), wait)
+        return ScriptedResponse("reset", rng.choice((0, 1, 2, 5, 8, 11, 12, 13)), rng.randrange(0, 3), wait)
     if kind < 0.90:
-        return Act("refuse", wait=wait)
+        return ScriptedResponse("refuse", wait=wait)
     if kind < 0.915:
-        return Act("goaway", wait=wait)
+        return ScriptedResponse("goaway", wait=wait)
     if kind < 0.925:
-        return Act("cut", 0, rng.randrange(0, 3), wait)
+        return ScriptedResponse("cut", 0, rng.randrange(0, 3), wait)
     if kind < 0.95:
-        return Act("silent", 0, rng.randrange(0, 3), wait)
+        return ScriptedResponse("silent", 0, rng.randrange(0, 3), wait)
     if kind < 0.98:
-        return Act(
+        return ScriptedResponse(
             "only", 14, 0, wait, pushback=rng.choice((b"0", b"50", b"400", b"-1", b"junk", b"99999999"))
         )
-    return Act("status", 0, 2, rng.randrange(500_000, 3_000_000))
+    return ScriptedResponse("status", 0, 2, rng.randrange(500_000, 3_000_000))
--- a/pulleyroute/emulator/jobs.py
+++ b/pulleyroute/emulator/jobs.py
@@ -176,7 +176,7 @@
             span = min(1.0, self._random.expovariate(1 / wait))
             if self._random.random() < self._hasty:
                 self._told[request] = threading.Event()
-        self._book.began(request, kind, self.name)
+        self._book.record_attempt(request, kind, self.name)
         timer = threading.Timer(span, self._done, (request,))
         timer.daemon = True
         timer.start()
@@ -202,7 +202,7 @@
             try:
                 connection.request("POST", "/callback", json.dumps(call))
                 if connection.getresponse().status in (200, 204):
-                    self._book.hear(call["id"])
+                    self._book.record_acknowledgement(call["id"])
                     return
             except (OSError, http.client.HTTPException):
                 time.sleep(0.05)
--- a/pulleyroute/lab/campaign.py
+++ b/pulleyroute/lab/campaign.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from pulleyroute.emulator.faulty import Act, FaultyBox, Taken, draw
+from pulleyroute.emulator.faulty import FaultyInstance, ReceivedAttempt, ScriptedResponse, draw
 from pulleyroute.emulator.virtual import VirtualLoop
 from pulleyroute.grpc import Calls, Front, FrontLimits, Match, Routes
 from pulleyroute.grpc.front import Target
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ClientCall:
     """One call as its client sees it; times in microseconds."""
 
     id: str
@@ -57,14 +57,14 @@
     calls: int
     statuses: Counter[int]
     attempts: int
-    acts: Counter[str]
+    endings_played: Counter[str]
     broken: list[str]
 
 
 class _Client:
     """Owns a call's stream and records every ending that comes."""
 
-    def __init__(self, loop: VirtualLoop, asked: Asked) -> None:
+    def __init__(self, loop: VirtualLoop, asked: ClientCall) -> None:
         self._loop, self._asked = loop, asked
         self.stream: Stream | None = None
 
@@ -108,7 +108,7 @@
         self.seed, self.count = seed, calls
         self.rng = random.Random(seed)
         self.loop = VirtualLoop()
-        self.asked: list[Asked] = []
+        self.asked: list[ClientCall] = []
         self.drained: dict[str, int] = {}
         self._late: list[str] = []  # new work to drained boxes
         self._box_faults = box_faults
@@ -127,7 +127,7 @@
             drain_grace=1_500_000,
             report_source=ReportSource.ANSWERS,
         )
-        self.boxes = [FaultyBox(self.loop, f"b-{i}", self.script) for i in range(boxes)]
+        self.boxes = [FaultyInstance(self.loop, f"b-{i}", self.script) for i in range(boxes)]
         for box in self.boxes:
             box.start()
         self.discovery = DiscoveryClient(self.loop, self._buffers, ("127.0.0.1", 1), self.settings, 0)
@@ -140,7 +140,7 @@
             50,
         )
         self.host = self.back.host = Host(self.loop, self.settings, seed, self.discovery, self.back)
-        self._list()
+        self._publish_members()
         routes = Routes(
             [
                 (Match("s.Safe"), Target(self.host, 0, 10 * SECOND)),
@@ -150,11 +150,11 @@
         self.front = Front(self.loop, self._buffers, routes, FrontLimits(), Health(lambda name: True))
         self.front.listen(("127.0.0.1", 0))
 
-    def script(self, request: str, attempts: int) -> Act:
+    def script(self, request: str, attempts: int) -> ScriptedResponse:
         """What a box does with an attempt: by seed, request and try, whatever happened before."""
         return draw(random.Random(f"{self.seed}/{request}/{attempts}"))
 
-    def _list(self) -> None:
+    def _publish_members(self) -> None:
         self.discovery.load_known(
             {
                 "revision": 1,
@@ -177,7 +177,9 @@
         at = self.loop.now()
         for i in range(self.count):
             at += int(self.rng.expovariate(1 / 20_000))
-            asked = Asked(f"c{i}", self.rng.random() < 0.5, self.rng.choice((300_000, 1_000_000, 4_000_000)))
+            asked = ClientCall(
+                f"c{i}", self.rng.random() < 0.5, self.rng.choice((300_000, 1_000_000, 4_000_000))
+            )
             self.asked.append(asked)
             which = self.rng.randrange(len(clients))
             size, pieces = self.rng.choice(((5, 1), (5, 3), (2000, 2), (90_000, 4))), self.rng.random()
@@ -206,7 +208,7 @@
         self,
         clients: list[Http2Connection],
         which: int,
-        asked: Asked,
+        asked: ClientCall,
         size: tuple[int, int],
         pieces: float,
         cancel: int,
@@ -243,7 +245,7 @@
         if last:
             stream.finish()
 
-    def _cancel(self, asked: Asked, stream: Stream) -> None:
+    def _cancel(self, asked: ClientCall, stream: Stream) -> None:
         if not asked.endings and stream.open:
             asked.cancelled = True
             stream.reset(Code.CANCEL)
@@ -258,7 +260,7 @@
                 self.loop.call_at(self.loop.now() + 2 * SECOND, box.start)
         elif box.name not in self.drained:
             self.drained[box.name] = self.loop.now()
-            self._list()
+            self._publish_members()
             self.loop.call_at(self.loop.now() + 4 * SECOND, lambda: self._return(box.name))
 
     def _return(self, name: str) -> None:
@@ -268,15 +270,15 @@
                 late = (taken.at - told) / 1e6
                 self._late.append(f"{taken.request} went to {name} {late:.2f} s after its drain was told")
         del self.drained[name]
-        self._list()
+        self._publish_members()
 
-    def _taken(self, name: str) -> list[Taken]:
+    def _taken(self, name: str) -> list[ReceivedAttempt]:
         return [taken for box in self.boxes if box.name == name for taken in box.taken]
 
     # The judge
 
     def _judge(self, done: bool) -> Outcome:
-        by_call: dict[str, list[Taken]] = defaultdict(list)
+        by_call: dict[str, list[ReceivedAttempt]] = defaultdict(list)
         for box in self.boxes:
             for taken in box.taken:
                 by_call[taken.request].append(taken)
@@ -290,7 +292,7 @@
             broken.append(f"{self.front.ledger.held} bytes of requests are still held")
         for asked in self.asked:
             runs = sorted(by_call[asked.id], key=lambda taken: taken.at)
-            broken += [f"{asked.id}: {text}; {self.history(asked, runs)}" for text in judge(asked, runs)]
+            broken += [f"{asked.id}: {text}; {self.history(asked, runs)}" for text in check_call(asked, runs)]
         return Outcome(
             self.seed,
             self.count,
@@ -301,10 +303,10 @@
         )
 
     @staticmethod
-    def history(asked: Asked, runs: list[Taken]) -> str:
+    def history(asked: ClientCall, runs: list[ReceivedAttempt]) -> str:
         """All that happened to a call, in one line."""
         parts = [
-            f"{taken.box} at {(taken.at - asked.began) / 1e6:+.3f} s {taken.act}, told {taken.told}, "
+            f"{taken.box} at {(taken.at - asked.began) / 1e6:+.3f} s {taken.act}, told {taken.ending_sent}, "
             f"dropped {taken.dropped}, given up {taken.given_up}"
             for taken in runs
         ]
@@ -314,7 +316,7 @@
         )
 
 
-def judge(asked: Asked, runs: list[Taken]) -> list[str]:
+def check_call(asked: ClientCall, runs: list[ReceivedAttempt]) -> list[str]:
     """The rules that one call broke. Pure."""
     found: list[str] = []
     may_have_run = [taken for taken in runs if not taken.never_ran]
@@ -326,12 +328,12 @@
         return found + [
             f"cancelled, and {taken.box} was not told"
             for taken in runs
-            if not taken.told and taken.given_up is None
+            if not taken.ending_sent and taken.given_up is None
         ]
     if asked.endings != ["status"]:
         return [*found, f"had the endings {asked.endings}"]
     for earlier, later in itertools.pairwise(runs):
-        if earlier.act.messages and earlier.told and not earlier.dropped:
+        if earlier.act.messages and earlier.ending_sent and not earlier.dropped:
             found.append(f"went to {later.box} though its answer had begun")
     if asked.ended_at > asked.began + asked.timeout:
         found.append("was answered after its deadline")
@@ -344,12 +346,14 @@
     ):
         found.append("the messages differ from those sent")
     found += [
-        f"ended, and {taken.box} was not told" for taken in runs if not taken.told and taken.given_up is None
+        f"ended, and {taken.box} was not told"
+        for taken in runs
+        if not taken.ending_sent and taken.given_up is None
     ]
     return found
 
 
-def expected(asked: Asked, runs: list[Taken]) -> set[int]:
+def expected(asked: ClientCall, runs: list[ReceivedAttempt]) -> set[int]:
     """The statuses that the table allows for what the boxes did."""
     near_end = asked.ended_at >= asked.began + int(asked.timeout * 0.85) - 30_000
     allowed = {DEADLINE} if near_end else set()
@@ -359,7 +363,7 @@
     act = last.act
     if last.given_up == -1:
         allowed.add(UNAVAILABLE)  # the box crashed, or another call's fault cut the connection
-    if not last.told:
+    if not last.ending_sent:
         return allowed | {UNAVAILABLE} if last.given_up == -1 else allowed
     if last.dropped:
         allowed.add(UNAVAILABLE)
--- a/pulleyroute/lab/demo.py
+++ b/pulleyroute/lab/demo.py
@@ -216,14 +216,14 @@
             if not drained and i > count / 3:
                 drained = True
                 discovery.put(boxes[0].name, boxes[0].address, "leaving")
-                self.book.drained[boxes[0].name] = time.monotonic()
+                self.book.drained_at[boxes[0].name] = time.monotonic()
             if not crashed and i > count / 2:
                 crashed = True  # one app dies with its calls
                 threading.Thread(target=apps[0].stop, daemon=True).start()
             kind = self.random.choice(list(self.rows))
             request = f"r{i}"
             self.kinds[request] = kind
-            self.book.ask(request, kind)
+            self.book.record_request(request, kind)
             self.rows[kind].asked += 1
             work = self._call if kind.startswith("shop.") else self._job
             thread = threading.Thread(
@@ -236,7 +236,7 @@
         channel.close()
         seconds = time.monotonic() - began
         tick(1.0, len(self.book.answers))
-        attempts = Counter(self.kinds[run.request] for run in self.book.runs)
+        attempts = Counter(self.kinds[run.request] for run in self.book.attempts)
         return Result(
             self.rows,
             attempts,
@@ -245,7 +245,7 @@
         )
 
     def _done(self, request: str, kind: str, ending: str, began: float) -> None:
-        self.book.answered(request, ending)
+        self.book.record_answer(request, ending)
         with self._lock:
             row = self.rows[kind]
             row.endings[ending] += 1
--- a/pulleyroute/lab/upgrade.py
+++ b/pulleyroute/lab/upgrade.py
@@ -187,7 +187,7 @@
         while not self._over.is_set():
             kind, request = self._random.choice(list(EFFECTS)), f"{self._mark}-{count}"
             count += 1
-            self._book.ask(request, kind)
+            self._book.record_request(request, kind)
             try:
                 connection.request(
                     "POST", f"/{kind}", b"{}", {"X-Txn": request, "X-Remaining-Ms": str(self._give_up * 1000)}
@@ -198,7 +198,7 @@
             except (OSError, http.client.HTTPException):
                 ending = "lost"
                 connection.close()
-            self._book.answered(request, ending)
+            self._book.record_answer(request, ending)
             time.sleep(self._random.random() * 0.02)
         connection.close()
 
@@ -266,11 +266,11 @@
         last.send_signal(signal.SIGTERM)
         last.wait(PATIENCE)
         exits = [process.returncode for process, _ in platform.processes]
-    kinds = {request: kind for request, (kind, _) in book.asked.items()}
+    kinds = {request: kind for request, (kind, _) in book.requests.items()}
     endings = Counter((kinds[request], ending) for request, ending, _ in book.answers)
     judged = {name: Kind(effect, give_up * 1_000_000) for name, effect in EFFECTS.items()}
     served = {request for request, ending, _ in book.answers if ending == "served"}
-    return Result(endings, verdict(book, judged), sorted(book.heard - served), exits, held)
+    return Result(endings, verdict(book, judged), sorted(book.acknowledged - served), exits, held)
 
 
 def _watch(platform: Platform, held: list[Held], over: threading.Event) -> None:
--- a/tests/grpc/test_campaign.py
+++ b/tests/grpc/test_campaign.py
@@ -4,11 +4,11 @@
 import pytest
 from loguru import logger
 
-from pulleyroute.emulator.faulty import Act, Taken
+from pulleyroute.emulator.faulty import ReceivedAttempt, ScriptedResponse
 from pulleyroute.grpc import back, call, decide
 from pulleyroute.grpc.status import Status
 from pulleyroute.interface import Outcome
-from pulleyroute.lab.campaign import Asked, Campaign, judge
+from pulleyroute.lab.campaign import Campaign, ClientCall, check_call
 from pulleyroute.net.host import Host
 
 
@@ -24,8 +24,8 @@
 def test_no_rule_is_broken_and_a_seed_plays_the_same_again():
     first, second = play(), play()
     assert first.broken == []
-    assert first.attempts > 200 and first.statuses[0] > 150 and len(first.acts) == 8
-    assert (first.statuses, first.acts) == (second.statuses, second.acts)
+    assert first.attempts > 200 and first.statuses[0] > 150 and len(first.endings_played) == 8
+    assert (first.statuses, first.endings_played) == (second.statuses, second.endings_played)
 
 
 def test_a_dispatcher_that_takes_a_reset_for_a_proof_is_caught(monkeypatch):
@@ -57,7 +57,9 @@
 
     monkeypatch.setattr(DiscoveryClient, "active", lambda self, instance: True)
     monkeypatch.setattr(
-        Campaign, "_list", lambda self, real=Campaign._list: None if self.drained else real(self)
+        Campaign,
+        "_publish_members",
+        lambda self, real=Campaign._publish_members: None if self.drained else real(self),
     )
     assert any("after its drain" in line for line in play(seed=3, calls=600).broken)
 
@@ -97,6 +99,6 @@
         "messages": b"\0\0\0\0\1\0",
         "ended_at": 1_100_000,
     }
-    runs = [Taken("c", "b", Act("status", 0, 1), 1_000_000, 0, 1, told=True)]
-    assert judge(Asked(**fine), runs) == []
-    assert any(told in line for line in judge(Asked(**(fine | change)), runs))
+    runs = [ReceivedAttempt("c", "b", ScriptedResponse("status", 0, 1), 1_000_000, 0, 1, ending_sent=True)]
+    assert check_call(ClientCall(**fine), runs) == []
+    assert any(told in line for line in check_call(ClientCall(**(fine | change)), runs))
