--- a/benchmarks/capacity/request.py
+++ b/benchmarks/capacity/request.py
@@ -29,7 +29,7 @@
 from pulleyroute.emulator import Discovery
 from pulleyroute.lab.arrivals import Mix, Piece, Shape
 from pulleyroute.lab.demo import free_port
-from pulleyroute.lab.load import SERVED, Jobs, open_loop
+from pulleyroute.lab.load import SERVED, JobTarget, open_loop
 
 SECONDS = 5.0  # that a rate is kept up
 WARM_UP = 100  # requests before, which open the connections
@@ -48,7 +48,7 @@
         "discovery": discovery.address,
         "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": json.loads(discovery.whole()),
+        "known": json.loads(discovery.snapshot()),
         "settings": settings,
     }
 
@@ -87,7 +87,7 @@
 
 
 async def _load(listen: str, rate: int, pid: int) -> dict[str, float]:
-    target = Jobs(listen)
+    target = JobTarget(listen)
     mix = Mix((("class-0", 1.0),))
     await open_loop(target, _even(WARM_UP, 1.0), mix, 1, PATIENCE, even=True)
     began, at = processor_time(pid), time.monotonic()
--- a/pulleyroute/cli/load.py
+++ b/pulleyroute/cli/load.py
@@ -51,14 +51,16 @@
         raise typer.Exit(1) from None
     try:
         kinds, plan = arrivals.read_mix(mix), arrivals.read_shape(shape)
-        load.local(address)
-    except (arrivals.BadShape, load.NotHere) as exc:
+        load.parse_loopback(address)
+    except (arrivals.BadShape, load.NotLoopback) as exc:
         print(f"pulleyroute: {exc}", file=sys.stderr)
         raise typer.Exit(2) from None
 
     async def play(tick: load.Tick) -> load.Report:
         body = b"x" * size
-        target: load.Target = load.Jobs(address, body) if what == "jobs" else load.Calls(address, body)
+        target: load.Target = (
+            load.JobTarget(address, body) if what == "jobs" else load.GrpcTarget(address, body)
+        )
         try:
             if clients:
                 return await load.closed_loop(target, clients, seconds, kinds, seed, timeout, tick=tick)
--- a/pulleyroute/emulator/jobs.py
+++ b/pulleyroute/emulator/jobs.py
@@ -50,7 +50,7 @@
                 if "watch=1" in self.path:
                     outer.watch(self)
                 else:
-                    self.reply(200, outer.whole())
+                    self.reply(200, outer.snapshot())
 
         self._server = _Server((host, 0), Handler)
         self.address = "{}:{}".format(*self._server.server_address[:2])
@@ -71,7 +71,7 @@
             }
             self._changed.notify_all()
 
-    def whole(self) -> bytes:
+    def snapshot(self) -> bytes:
         with self._changed:
             return json.dumps(
                 {"revision": self._revision, "complete": True, "members": list(self._members.values())}
@@ -87,14 +87,14 @@
                 with self._changed:
                     if seen == self._revision:
                         self._changed.wait(2.0)
-                    line = b"\n" if seen == self._revision else self.whole_line()
+                    line = b"\n" if seen == self._revision else self.snapshot_line()
                     seen = self._revision
                 handler.wfile.write(b"%x\r\n%s\r\n" % (len(line), line))
                 handler.wfile.flush()
         except OSError:
             return
 
-    def whole_line(self) -> bytes:
+    def snapshot_line(self) -> bytes:
         return (
             json.dumps(
                 {"revision": self._revision, "complete": True, "members": list(self._members.values())}
--- a/pulleyroute/emulator/runner.py
+++ b/pulleyroute/emulator/runner.py
@@ -53,18 +53,20 @@
         name: str,
         callbacks: list[tuple[str, int]],
         slots: int = 4,
-        mean: int = 30_000,
+        mean_us: int = 30_000,
         seed: int = 0,
-        book: Path | None = None,
+        event_log: Path | None = None,
     ) -> None:
         """`mean`: us that a job runs, exponentially drawn and at most ten times as long."""
         self._loop, self._pool, self.name = loop, BufferPool(), name
-        self._slots, self._mean, self._random = slots, mean, random.Random(seed)
+        self._slots, self._mean_us, self._random = slots, mean_us, random.Random(seed)
         self._jobs: dict[str, Taken] = {}
         self._queue: deque[Taken] = deque()
         self._running = 0
-        self._book = (
-            os.open(book, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600) if book is not None else None
+        self._event_log = (
+            os.open(event_log, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
+            if event_log is not None
+            else None
         )
         self.addresses: list[tuple[str, int]] = []
         for callback in callbacks:
@@ -74,9 +76,9 @@
             loop.spawn(self._accepting(sock, callback), "listener")
 
     def _note(self, what: str, job: Taken) -> None:
-        if self._book is not None:
+        if self._event_log is not None:
             os.write(
-                self._book,
+                self._event_log,
                 json.dumps(
                     {
                         "at": self._loop.now(),
@@ -134,7 +136,7 @@
             return 404, b"", []
         if len(self._queue) >= LINE * self._slots:
             return 503, b"", [(b"X-Turned-Away", b"1")]
-        span = int(min(10.0, self._random.expovariate(1)) * self._mean)
+        span = int(min(10.0, self._random.expovariate(1)) * self._mean_us)
         job = Taken(txn.decode(), path.split("?")[0][1:], callback, span)
         self._jobs[job.txn] = job
         self._queue.append(job)
--- a/pulleyroute/lab/load.py
+++ b/pulleyroute/lab/load.py
@@ -31,19 +31,19 @@
 SERVED, REFUSED, FAILED, LOST = "served", "refused", "failed", "lost"
 
 
-class NotHere(ValueError):
+class NotLoopback(ValueError):
     """A target that is not on this machine."""
 
 
-def local(address: str) -> tuple[str, int]:
-    """A loopback address; raises `NotHere` for any other, so that a slip of the pen loads nobody else's
+def parse_loopback(address: str) -> tuple[str, int]:
+    """A loopback address; raises `NotLoopback` for any other, so that a slip of the pen loads nobody else's
     machine."""
     try:
         host, port = parse_address(address)
     except ValueError as exc:
-        raise NotHere(str(exc)) from None
+        raise NotLoopback(str(exc)) from None
     if not ipaddress.ip_address(host).is_loopback:
-        raise NotHere(f"{address} is not a loopback address")
+        raise NotLoopback(f"{address} is not a loopback address")
     return host, port
 
 
@@ -54,11 +54,11 @@
     async def close(self) -> None: ...
 
 
-class Jobs:
+class JobTarget:
     """The platform's clients' side: HTTP/1.1, one request a connection at a time, kept connections."""
 
     def __init__(self, address: str, body: bytes = b"{}") -> None:
-        self._address = local(address)
+        self._address = parse_loopback(address)
         self._body = body
         self._idle: list[tuple[h11.Connection, asyncio.StreamReader, asyncio.StreamWriter]] = []
         self._mark = f"{random.SystemRandom().getrandbits(32):08x}"  # ids of two loads must not meet
@@ -122,14 +122,14 @@
         self._idle.clear()
 
 
-class Calls:
+class GrpcTarget:
     """gRPC: a kind is `service/method`, or a service whose method is Unary; a message of so many bytes each
     way."""
 
     def __init__(
         self, address: str, body: bytes = b"hello", metadata: tuple[tuple[str, str], ...] = ()
     ) -> None:
-        host, port = local(address)
+        host, port = parse_loopback(address)
         self._channel = grpc.aio.insecure_channel(f"{host}:{port}", [("grpc.enable_retries", 0)])
         self._body, self._metadata = body, metadata
         self._methods: dict[str, Any] = {}
--- a/pulleyroute/lab/upgrade.py
+++ b/pulleyroute/lab/upgrade.py
@@ -69,7 +69,7 @@
         "listen": listen,
         "discovery": discovery.address,
         "seed": "1",
-        "known": json.loads(discovery.whole()),
+        "known": json.loads(discovery.snapshot()),
         "limits": {"memory_mb": MEMORY_MB, "sockets": SOCKETS},
         "settings": {
             "balancers": 1,
--- a/tests/fleet/test_link.py
+++ b/tests/fleet/test_link.py
@@ -96,7 +96,7 @@
 def test_a_runner_takes_runs_in_order_calls_back_and_writes_down(loop, tmp_path):
     back = socket.create_server(("127.0.0.1", 0))
     back.setblocking(False)
-    box = Runner(loop, "r", [back.getsockname()], slots=1, mean=SECOND, book=tmp_path / "book")
+    box = Runner(loop, "r", [back.getsockname()], slots=1, mean_us=SECOND, event_log=tmp_path / "book")
     client = Peer(loop, socket.create_connection(box.addresses[0]))
     for txn, answer in ((b"t1", b"202"), (b"t2", b"202"), (b"t3", b"202"), (b"t4", b"202"), (b"t5", b"503")):
         client.send(b"POST /look HTTP/1.1\r\nHost: r\r\nX-Txn: %s\r\nContent-Length: 0\r\n\r\n" % txn)
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -19,12 +19,12 @@
     LOST,
     REFUSED,
     SERVED,
-    Calls,
-    Jobs,
-    NotHere,
+    GrpcTarget,
+    JobTarget,
+    NotLoopback,
     closed_loop,
-    local,
     open_loop,
+    parse_loopback,
 )
 
 ONE = Mix((("a", 1.0),))
@@ -93,10 +93,10 @@
 
 
 def test_only_this_machine_is_loaded():
-    assert local("127.0.0.9:80") == ("127.0.0.9", 80)
+    assert parse_loopback("127.0.0.9:80") == ("127.0.0.9", 80)
     for wrong in ("10.0.0.1:80", "example.org:80", "127.0.0.1", "8.8.8.8:53"):
-        with pytest.raises(NotHere):
-            local(wrong)
+        with pytest.raises(NotLoopback):
+            parse_loopback(wrong)
 
 
 class Server:
@@ -135,7 +135,7 @@
 def against(server, play):
     async def run():
         listener = await asyncio.start_server(server.serve, "127.0.0.1", 0)
-        target = Jobs("{}:{}".format(*listener.sockets[0].getsockname()))
+        target = JobTarget("{}:{}".format(*listener.sockets[0].getsockname()))
         try:
             return await play(target)
         finally:
@@ -184,8 +184,8 @@
     try:
 
         async def play():
-            target = Calls(box.address, metadata=(("x-status", "5"),))
-            good = Calls(box.address)
+            target = GrpcTarget(box.address, metadata=(("x-status", "5"),))
+            good = GrpcTarget(box.address)
             try:
                 return (
                     await open_loop(good, read_shape("burst:40"), read_mix("test.S,test.S/Unary"), 1, 30.0),
