--- a/benchmarks/box.py
+++ b/benchmarks/box.py
@@ -7,13 +7,13 @@
 from pulleyroute.emulator import EventLog, GrpcInstance
 
 
-class NoBook(EventLog):
+class NullEventLog(EventLog):
     """A box that is measured against keeps no record."""
 
-    def record_attempt(self, request: str, kind: str, box: str) -> None: ...
+    def record_attempt(self, request: str, kind: str, instance: str) -> None: ...
 
 
 if __name__ == "__main__":
-    print(GrpcInstance("box", NoBook(), threads=64).address, flush=True)
+    print(GrpcInstance("box", NullEventLog(), threads=64).address, flush=True)
     while True:
         time.sleep(3600)
--- a/pulleyroute/emulator/__init__.py
+++ b/pulleyroute/emulator/__init__.py
@@ -1,6 +1,7 @@
-"""Stand-ins that the project writes itself: discovery, job boxes over HTTP, gRPC boxes. Loopback only.
+"""Stand-ins for the systems around the dispatcher: discovery, job runners over HTTP, gRPC instances.
 
-Threads are fine here: none of it runs in the dispatcher. Needs the extra `lab` for the gRPC boxes.
+They listen on loopback only and may use threads, since none of them runs in the dispatcher's process. The
+gRPC instances need the extra `lab`.
 """
 
 from pulleyroute.emulator.book import EventLog, RecordedAttempt
--- a/pulleyroute/emulator/book.py
+++ b/pulleyroute/emulator/book.py
@@ -1,4 +1,7 @@
-"""What the stand-ins saw, for a judge: it knows nothing of the dispatcher but what went over its sockets."""
+"""The event log that stand-ins and clients write and a rule checker reads.
+
+It holds only what went over the sockets of the stand-ins and clients, nothing from inside the dispatcher.
+"""
 
 from __future__ import annotations
 
@@ -9,41 +12,48 @@
 
 @dataclass(slots=True, frozen=True)
 class RecordedAttempt:
-    """One attempt that a box began. `at` in seconds of the monotonic clock."""
+    """One attempt that an instance started. `at` is in seconds of the monotonic clock."""
 
     request: str
     kind: str
-    box: str
+    instance: str
     at: float
 
 
 @dataclass(slots=True)
 class EventLog:
-    """Shared by all stand-ins of one run; owns the record. Times in seconds of the monotonic clock."""
+    """Events of one run, written by all of its stand-ins and clients from their threads.
+
+    Times are in seconds of the monotonic clock.
+    """
 
     attempts: list[RecordedAttempt] = field(default_factory=list)
-    drained_at: dict[str, float] = field(default_factory=dict)  # box: when discovery told of its drain
-    requests: dict[str, tuple[str, float]] = field(default_factory=dict)  # request: its kind, and when
-    answers: list[tuple[str, str, float]] = field(
-        default_factory=list
-    )  # request, ending, when its client had it
-    acknowledged: set[str] = field(
-        default_factory=set
-    )  # requests whose end a dispatcher has said to have heard
+    # Instance name: when discovery published that it drains.
+    drained_at: dict[str, float] = field(default_factory=dict)
+    # Request id: its kind and when its client sent it.
+    requests: dict[str, tuple[str, float]] = field(default_factory=dict)
+    # Request id, ending and when the client had the answer.
+    answers: list[tuple[str, str, float]] = field(default_factory=list)
+    # Ids of requests whose call-back a dispatcher has acknowledged.
+    acknowledged: set[str] = field(default_factory=set)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
-    def record_attempt(self, request: str, kind: str, box: str) -> None:
+    def record_attempt(self, request: str, kind: str, instance: str) -> None:
+        """Record that an instance starts an attempt now."""
         with self._lock:
-            self.attempts.append(RecordedAttempt(request, kind, box, time.monotonic()))
+            self.attempts.append(RecordedAttempt(request, kind, instance, time.monotonic()))
 
     def record_acknowledgement(self, request: str) -> None:
+        """Record that a dispatcher acknowledged the call-back of a request."""
         with self._lock:
             self.acknowledged.add(request)
 
     def record_request(self, request: str, kind: str) -> None:
+        """Record that a client sends a request now."""
         with self._lock:
             self.requests[request] = kind, time.monotonic()
 
     def record_answer(self, request: str, ending: str) -> None:
+        """Record how a request ended for its client, now."""
         with self._lock:
             self.answers.append((request, ending, time.monotonic()))
--- a/pulleyroute/emulator/exchange.py
+++ b/pulleyroute/emulator/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP call of a stand-in or a rig, on a connection of its own."""
+"""One HTTP call of a stand-in or a test rig, on a connection of its own."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 def exchange(
     stream: Stream, method: bytes, target: bytes, until: int, body: bytes = b""
 ) -> Coroutine[Message]:
-    """The answer to one call; the connection ends with it. Raises what `Stream.send` and `response` do."""
+    """Send one request, return its answer and close the connection.
+
+    `until` is the deadline in microseconds of the loop's clock. Raises what `Stream.send` and
+    `Stream.response` raise.
+    """
     try:
         head = h11.Request(
             method=method,
--- a/pulleyroute/emulator/virtual.py
+++ b/pulleyroute/emulator/virtual.py
@@ -1,7 +1,7 @@
-"""A loop whose clock stands still while anything is on its way, and then jumps to the next timer.
+"""An event loop on simulated time: the clock stops while I/O is pending, then jumps to the next timer.
 
-Real sockets on loopback, simulated time: minutes of deadlines and drains pass in seconds, and a run's course
-hangs on its seed, not on the machine's speed.
+The sockets are real ones on loopback. Minutes of deadlines and drains take seconds, and the course of a run
+depends on its seed and not on the speed of the machine.
 """
 
 from __future__ import annotations
@@ -10,11 +10,14 @@
 
 from pulleyroute.net.loop import Loop
 
-QUIET = 3  # looks that find nothing before time moves
+IDLE_POLLS = 3  # polls in a row without I/O before the clock advances
 
 
 class VirtualLoop(Loop):
-    """Starts at an arbitrary moment; times in microseconds. Collects errors of tasks in `errors`."""
+    """A loop with a simulated clock, in microseconds from an arbitrary start.
+
+    Collects the exceptions of tasks in `errors`, each with the name of its task.
+    """
 
     def __init__(self) -> None:
         self.errors: list[tuple[str, Exception]] = []
@@ -22,21 +25,22 @@
         self.time = 1_000_000_000
 
     def now(self) -> int:
+        """Return the simulated time in microseconds."""
         return self.time
 
     def run_until(self, condition: Callable[[], bool], longest: int) -> bool:
-        """Turn until the condition holds; False if so many microseconds pass first."""
+        """Run until the condition holds. Return False if `longest` microseconds pass first."""
         end = self.time + longest
-        quiet = 0
+        idle_polls = 0
         while not condition():
             if self._queue or self._poll.poll(0, 1):
-                quiet = 0
+                idle_polls = 0
                 self.turn(0)
                 continue
-            quiet += 1
-            if quiet < QUIET:
+            idle_polls += 1
+            if idle_polls < IDLE_POLLS:
                 continue
-            quiet = 0
+            idle_polls = 0
             if not self._timers or self._timers[0][0] > end:
                 self.time = end
                 return condition()
--- a/pulleyroute/lab/campaign.py
+++ b/pulleyroute/lab/campaign.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from pulleyroute.emulator.faulty import FaultyInstance, ReceivedAttempt, ScriptedResponse, draw
+from pulleyroute.emulator.faulty import FaultyInstance, ReceivedAttempt, ScriptedResponse, draw_response
 from pulleyroute.emulator.virtual import VirtualLoop
 from pulleyroute.grpc import Calls, Front, FrontLimits, Match, Routes
 from pulleyroute.grpc.front import Target
@@ -152,7 +152,7 @@
 
     def script(self, request: str, attempts: int) -> ScriptedResponse:
         """What a box does with an attempt: by seed, request and try, whatever happened before."""
-        return draw(random.Random(f"{self.seed}/{request}/{attempts}"))
+        return draw_response(random.Random(f"{self.seed}/{request}/{attempts}"))
 
     def _publish_members(self) -> None:
         self.discovery.load_known(
@@ -273,14 +273,14 @@
         self._publish_members()
 
     def _taken(self, name: str) -> list[ReceivedAttempt]:
-        return [taken for box in self.boxes if box.name == name for taken in box.taken]
+        return [taken for box in self.boxes if box.name == name for taken in box.received]
 
     # The judge
 
     def _judge(self, done: bool) -> Outcome:
         by_call: dict[str, list[ReceivedAttempt]] = defaultdict(list)
         for box in self.boxes:
-            for taken in box.taken:
+            for taken in box.received:
                 by_call[taken.request].append(taken)
         broken = list(self._late)
         if not done:
@@ -298,7 +298,7 @@
             self.count,
             Counter(a.status for a in self.asked if not a.cancelled),
             sum(len(runs) for runs in by_call.values()),
-            Counter(taken.act.ending for runs in by_call.values() for taken in runs),
+            Counter(taken.response.ending for runs in by_call.values() for taken in runs),
             broken,
         )
 
@@ -306,8 +306,8 @@
     def history(asked: ClientCall, runs: list[ReceivedAttempt]) -> str:
         """All that happened to a call, in one line."""
         parts = [
-            f"{taken.box} at {(taken.at - asked.began) / 1e6:+.3f} s {taken.act}, told {taken.ending_sent}, "
-            f"dropped {taken.dropped}, given up {taken.given_up}"
+            f"{taken.box} at {(taken.at - asked.began) / 1e6:+.3f} s {taken.response}, told {taken.ending_sent}, "
+            f"dropped {taken.dropped}, given up {taken.abort_code}"
             for taken in runs
         ]
         return (
@@ -328,12 +328,12 @@
         return found + [
             f"cancelled, and {taken.box} was not told"
             for taken in runs
-            if not taken.ending_sent and taken.given_up is None
+            if not taken.ending_sent and taken.abort_code is None
         ]
     if asked.endings != ["status"]:
         return [*found, f"had the endings {asked.endings}"]
     for earlier, later in itertools.pairwise(runs):
-        if earlier.act.messages and earlier.ending_sent and not earlier.dropped:
+        if earlier.response.messages and earlier.ending_sent and not earlier.dropped:
             found.append(f"went to {later.box} though its answer had begun")
     if asked.ended_at > asked.began + asked.timeout:
         found.append("was answered after its deadline")
@@ -342,13 +342,13 @@
     if (
         asked.status == 0
         and runs
-        and asked.messages != b"".join(b"\0\0\0\0\1%c" % (i % 256) for i in range(runs[-1].act.messages))
+        and asked.messages != b"".join(b"\0\0\0\0\1%c" % (i % 256) for i in range(runs[-1].response.messages))
     ):
         found.append("the messages differ from those sent")
     found += [
         f"ended, and {taken.box} was not told"
         for taken in runs
-        if not taken.ending_sent and taken.given_up is None
+        if not taken.ending_sent and taken.abort_code is None
     ]
     return found
 
@@ -360,11 +360,11 @@
     if not runs:
         return allowed | {UNAVAILABLE}
     last = runs[-1]
-    act = last.act
-    if last.given_up == -1:
+    act = last.response
+    if last.abort_code == -1:
         allowed.add(UNAVAILABLE)  # the box crashed, or another call's fault cut the connection
     if not last.ending_sent:
-        return allowed | {UNAVAILABLE} if last.given_up == -1 else allowed
+        return allowed | {UNAVAILABLE} if last.abort_code == -1 else allowed
     if last.dropped:
         allowed.add(UNAVAILABLE)
     elif act.ending in ("status", "only"):
--- a/pulleyroute/lab/verdict.py
+++ b/pulleyroute/lab/verdict.py
@@ -18,7 +18,7 @@
         return int(seconds * 1e6)
 
     events: list[Event] = [Asked(micros(at), request, kind) for request, (kind, at) in book.requests.items()]
-    events += [Sent(micros(run.at), run.request, i, run.box) for i, run in enumerate(book.attempts)]
+    events += [Sent(micros(run.at), run.request, i, run.instance) for i, run in enumerate(book.attempts)]
     events += [Told(micros(at), box, "leaving") for box, at in book.drained_at.items()]
     events += [
         Answered(micros(at), request, ending) for request, ending, at in book.answers if ending != "lost"
