--- a/pulleyroute/lab/campaign.py
+++ b/pulleyroute/lab/campaign.py
@@ -1,9 +1,9 @@
-"""Calls under random faults, from a seed, and a judge that knows the rules but not the dispatcher.
+"""Calls under random faults drawn from a seed, and a rule checker that is independent of the dispatcher.
 
-The parts of the dispatcher, faulty boxes and clients on one virtual clock. The judge looks at what boxes and
-clients saw: an unsafe call that may have run went out twice; a call without exactly one ending; a status that
-is not the one the table gives for what the boxes did; new work to a drained box; an instance that was not
-told of a call's end.
+The dispatcher's parts, faulty instances and clients run on one simulated clock. The checker sees only what
+instances and clients observed. It reports an unsafe call that may have run and was sent again; a call without
+exactly one ending; a status that the status table does not give for what the instances did; new attempts at a
+drained instance; and an instance that was not notified of a call's end.
 """
 
 from __future__ import annotations
@@ -28,22 +28,23 @@
 from pulleyroute.net.http2 import Code, Http2Connection, Limits, Stream
 
 SECOND = 1_000_000
-# "gRPC over HTTP2", errors: the judge's own copy, by HTTP/2 code.
-RESETS = {0: 13, 1: 13, 2: 13, 3: 13, 5: 13, 7: 14, 8: 1, 11: 8, 12: 7, 13: 13}
+# gRPC status by HTTP/2 error code, from "gRPC over HTTP2", section "Errors". The checker keeps its own copy
+# and does not use the dispatcher's table.
+STATUS_BY_RESET_CODE = {0: 13, 1: 13, 2: 13, 3: 13, 5: 13, 7: 14, 8: 1, 11: 8, 12: 7, 13: 13}
 UNAVAILABLE, DEADLINE = 14, 4
 
 
 @dataclass(slots=True)
 class ClientCall:
-    """One call as its client sees it; times in microseconds."""
+    """One call as its client observes it; times are in microseconds."""
 
     id: str
     unsafe: bool
     timeout: int
     began: int = 0
-    endings: list[str] = field(default_factory=list)  # "status", "reset" or "lost", each time one came
+    endings: list[str] = field(default_factory=list)  # "status", "reset" or "lost", in order of arrival
     status: int = -1
-    refused: bool = False  # with advice when to come back
+    refused: bool = False  # by the dispatcher itself, with grpc-retry-pushback-ms
     messages: bytes = b""
     cancelled: bool = False
     ended_at: int = 0
@@ -51,7 +52,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What a campaign came to."""
+    """Result of a campaign. `broken` has one line for each broken rule."""
 
     seed: int
     calls: int
@@ -61,11 +62,11 @@
     broken: list[str]
 
 
-class _Client:
-    """Owns a call's stream and records every ending that comes."""
+class _CallRecorder:
+    """Handles the client's stream of one call and records every ending that arrives."""
 
-    def __init__(self, loop: VirtualLoop, asked: ClientCall) -> None:
-        self._loop, self._asked = loop, asked
+    def __init__(self, loop: VirtualLoop, call: ClientCall) -> None:
+        self._loop, self._call = loop, call
         self.stream: Stream | None = None
 
     def headers(self, headers: Headers, ended: bool) -> None:
@@ -73,45 +74,47 @@
             self._end(headers)
 
     def data(self, data: bytes) -> None:
-        self._asked.messages += data
+        self._call.messages += data
         if self.stream is not None:
             self.stream.consumed(len(data))
 
     def ended(self, trailers: Headers) -> None:
         if trailers:
             self._end(trailers)
-        elif not self._asked.endings:
-            self._asked.endings.append("end without a status")
+        elif not self._call.endings:
+            self._call.endings.append("end without a status")
 
     def _end(self, trailers: Headers) -> None:
-        seen = {bytes(name): bytes(value) for name, value in trailers}
-        self._asked.endings.append("status")
-        self._asked.ended_at = self._loop.now()
-        self._asked.status = int(seen.get(b"grpc-status", b"-1"))
-        self._asked.refused = (
-            self._asked.status == UNAVAILABLE and b"grpc-retry-pushback-ms" in seen and b"x-box" not in seen
+        values = {bytes(name): bytes(value) for name, value in trailers}
+        self._call.endings.append("status")
+        self._call.ended_at = self._loop.now()
+        self._call.status = int(values.get(b"grpc-status", b"-1"))
+        self._call.refused = (
+            self._call.status == UNAVAILABLE
+            and b"grpc-retry-pushback-ms" in values
+            and b"x-box" not in values
         )
 
     def sent(self, count: int) -> None: ...
 
     def aborted(self, code: int | None, never_ran: bool, why: str) -> None:
-        if code == 0 and self._asked.endings:
-            return  # RST_STREAM with NO_ERROR after a whole answer (RFC 9113, 8.1)
-        if not self._asked.cancelled:
-            self._asked.endings.append("lost" if code is None else "reset")
+        if code == 0 and self._call.endings:
+            return  # RST_STREAM with NO_ERROR after a complete answer (RFC 9113, 8.1)
+        if not self._call.cancelled:
+            self._call.endings.append("lost" if code is None else "reset")
 
 
 class Campaign:
-    """One run; `box_faults` lets boxes crash, return and drain beside what they do to single calls."""
+    """One run. With `instance_faults`, instances also crash and restart, or drain and return."""
 
-    def __init__(self, seed: int, calls: int, boxes: int = 4, box_faults: bool = True) -> None:
+    def __init__(self, seed: int, calls: int, instances: int = 4, instance_faults: bool = True) -> None:
         self.seed, self.count = seed, calls
         self.rng = random.Random(seed)
         self.loop = VirtualLoop()
-        self.asked: list[ClientCall] = []
-        self.drained: dict[str, int] = {}
-        self._late: list[str] = []  # new work to drained boxes
-        self._box_faults = box_faults
+        self.calls: list[ClientCall] = []
+        self.drained: dict[str, int] = {}  # instance name: when its drain was published
+        self._late_attempts: list[str] = []  # attempts sent to instances after their drain
+        self._instance_faults = instance_faults
         self._buffers = BufferPool()
         classes = [
             JobClass("safe", Effect.SAFE, SECOND, 10 * SECOND, 1.0),
@@ -127,11 +130,11 @@
             drain_grace=1_500_000,
             report_source=ReportSource.ANSWERS,
         )
-        self.boxes = [FaultyInstance(self.loop, f"b-{i}", self.script) for i in range(boxes)]
-        for box in self.boxes:
-            box.start()
+        self.instances = [FaultyInstance(self.loop, f"b-{i}", self.script) for i in range(instances)]
+        for instance in self.instances:
+            instance.start()
         self.discovery = DiscoveryClient(self.loop, self._buffers, ("127.0.0.1", 1), self.settings, 0)
-        self.back = Calls(
+        self.upstream = Calls(
             self.loop,
             self._buffers,
             self.discovery,
@@ -139,7 +142,7 @@
             Limits(idle=0, ping_after=5 * SECOND, ping_timeout=2 * SECOND),
             50,
         )
-        self.host = self.back.host = Host(self.loop, self.settings, seed, self.discovery, self.back)
+        self.host = self.upstream.host = Host(self.loop, self.settings, seed, self.discovery, self.upstream)
         self._publish_members()
         routes = Routes(
             [
@@ -151,7 +154,10 @@
         self.front.listen(("127.0.0.1", 0))
 
     def script(self, request: str, attempts: int) -> ScriptedResponse:
-        """What a box does with an attempt: by seed, request and try, whatever happened before."""
+        """Draw the response to an attempt from the seed, the request and the number of previous attempts.
+
+        It does not depend on anything that happened before.
+        """
         return draw_response(random.Random(f"{self.seed}/{request}/{attempts}"))
 
     def _publish_members(self) -> None:
@@ -161,40 +167,42 @@
                 "complete": True,
                 "members": [
                     {
-                        "id": box.name,
-                        "host_port": "{}:{}".format(*box.address),
+                        "id": instance.name,
+                        "host_port": "{}:{}".format(*instance.address),
                         "up_since_ms": 0,
-                        "phase": "leaving" if box.name in self.drained else "active",
+                        "phase": "leaving" if instance.name in self.drained else "active",
                     }
-                    for box in self.boxes
+                    for instance in self.instances
                 ],
             }
         )
 
     def run(self) -> Outcome:
-        """Play it to its end, and judge."""
+        """Run the campaign to its end and check the rules."""
         clients = [self._connect() for _ in range(4)]
         at = self.loop.now()
         for i in range(self.count):
             at += int(self.rng.expovariate(1 / 20_000))
-            asked = ClientCall(
+            call = ClientCall(
                 f"c{i}", self.rng.random() < 0.5, self.rng.choice((300_000, 1_000_000, 4_000_000))
             )
-            self.asked.append(asked)
-            which = self.rng.randrange(len(clients))
-            size, pieces = self.rng.choice(((5, 1), (5, 3), (2000, 2), (90_000, 4))), self.rng.random()
+            self.calls.append(call)
+            client_index = self.rng.randrange(len(clients))
+            size, spacing = self.rng.choice(((5, 1), (5, 3), (2000, 2), (90_000, 4))), self.rng.random()
             cancel = self.rng.randrange(1000, 500_000) if self.rng.random() < 0.06 else 0
-            self.loop.call_at(at, partial(self._call, clients, which, asked, size, pieces, cancel))
-            if self._box_faults and i % 150 == 149:
-                self.loop.call_at(at, partial(self._trouble, i))
+            self.loop.call_at(
+                at, partial(self._start_call, clients, client_index, call, size, spacing, cancel)
+            )
+            if self._instance_faults and i % 150 == 149:
+                self.loop.call_at(at, partial(self._inject_fault, i))
         done = self.loop.run_until(
-            lambda: len(self.asked) == self.count
-            and all(each.began and (each.endings or each.cancelled) for each in self.asked)
-            and not self.back.open,
+            lambda: len(self.calls) == self.count
+            and all(each.began and (each.endings or each.cancelled) for each in self.calls)
+            and not self.upstream.open,
             (at - self.loop.now()) + 60 * SECOND,
         )
         self.loop.run_until(lambda: False, 2 * SECOND)
-        return self._judge(done)
+        return self._check_run(done)
 
     def _connect(self) -> Http2Connection:
         sock = socket.create_connection(self.front.address)
@@ -204,21 +212,21 @@
         client.start()
         return client
 
-    def _call(
+    def _start_call(
         self,
         clients: list[Http2Connection],
-        which: int,
-        asked: ClientCall,
+        client_index: int,
+        call: ClientCall,
         size: tuple[int, int],
-        pieces: float,
+        spacing: float,
         cancel: int,
     ) -> None:
-        if clients[which].closed:
-            clients[which] = self._connect()
-        asked.began = self.loop.now()
-        owner = _Client(self.loop, asked)
-        path = b"/s.Unsafe/Do" if asked.unsafe else b"/s.Safe/Do"
-        stream = owner.stream = clients[which].request(
+        if clients[client_index].closed:
+            clients[client_index] = self._connect()
+        call.began = self.loop.now()
+        recorder = _CallRecorder(self.loop, call)
+        path = b"/s.Unsafe/Do" if call.unsafe else b"/s.Safe/Do"
+        stream = recorder.stream = clients[client_index].request(
             [
                 (b":method", b"POST"),
                 (b":scheme", b"http"),
@@ -226,18 +234,18 @@
                 (b":authority", b"x"),
                 (b"te", b"trailers"),
                 (b"content-type", b"application/grpc"),
-                (b"x-id", asked.id.encode()),
-                (b"grpc-timeout", b"%du" % asked.timeout),
+                (b"x-id", call.id.encode()),
+                (b"grpc-timeout", b"%du" % call.timeout),
             ],
-            owner,
+            recorder,
         )
         length, count = size
         message = b"\0" + length.to_bytes(4, "big") + bytes(length)
         for i in range(count):
-            wait = int(i * 20_000 * pieces)
+            wait = int(i * 20_000 * spacing)
             self.loop.call_at(self.loop.now() + wait, partial(self._send, stream, message, i == count - 1))
         if cancel:
-            self.loop.call_at(self.loop.now() + cancel, lambda: self._cancel(asked, stream))
+            self.loop.call_at(self.loop.now() + cancel, lambda: self._cancel(call, stream))
 
     @staticmethod
     def _send(stream: Stream, message: bytes, last: bool) -> None:
@@ -245,136 +253,144 @@
         if last:
             stream.finish()
 
-    def _cancel(self, asked: ClientCall, stream: Stream) -> None:
-        if not asked.endings and stream.open:
-            asked.cancelled = True
+    def _cancel(self, call: ClientCall, stream: Stream) -> None:
+        if not call.endings and stream.open:
+            call.cancelled = True
             stream.reset(Code.CANCEL)
 
-    def _trouble(self, number: int) -> None:
-        """A box crashes and comes back, or drains and returns."""
+    def _inject_fault(self, number: int) -> None:
+        """Crash an instance and restart it after 2 s, or drain it and end the drain after 4 s."""
         rng = random.Random(f"{self.seed}/trouble/{number}")
-        box = rng.choice(self.boxes)
+        instance = rng.choice(self.instances)
         if rng.random() < 0.5:
-            if box.up:
-                box.crash()
-                self.loop.call_at(self.loop.now() + 2 * SECOND, box.start)
-        elif box.name not in self.drained:
-            self.drained[box.name] = self.loop.now()
+            if instance.up:
+                instance.crash()
+                self.loop.call_at(self.loop.now() + 2 * SECOND, instance.start)
+        elif instance.name not in self.drained:
+            self.drained[instance.name] = self.loop.now()
             self._publish_members()
-            self.loop.call_at(self.loop.now() + 4 * SECOND, lambda: self._return(box.name))
-
-    def _return(self, name: str) -> None:
-        told = self.drained[name]
-        for taken in self._taken(name):
-            if taken.at > told + 1_550_000:
-                late = (taken.at - told) / 1e6
-                self._late.append(f"{taken.request} went to {name} {late:.2f} s after its drain was told")
+            self.loop.call_at(self.loop.now() + 4 * SECOND, lambda: self._end_drain(instance.name))
+
+    def _end_drain(self, name: str) -> None:
+        drained_at = self.drained[name]
+        for attempt in self._attempts_at(name):
+            # The grace of 1.5 s, and a tolerance of 50 ms.
+            if attempt.at > drained_at + 1_550_000:
+                late = (attempt.at - drained_at) / 1e6
+                self._late_attempts.append(
+                    f"{attempt.request} went to {name} {late:.2f} s after its drain was told"
+                )
         del self.drained[name]
         self._publish_members()
 
-    def _taken(self, name: str) -> list[ReceivedAttempt]:
-        return [taken for box in self.boxes if box.name == name for taken in box.received]
-
-    # The judge
+    def _attempts_at(self, name: str) -> list[ReceivedAttempt]:
+        return [
+            attempt for instance in self.instances if instance.name == name for attempt in instance.received
+        ]
 
-    def _judge(self, done: bool) -> Outcome:
-        by_call: dict[str, list[ReceivedAttempt]] = defaultdict(list)
-        for box in self.boxes:
-            for taken in box.received:
-                by_call[taken.request].append(taken)
-        broken = list(self._late)
+    def _check_run(self, done: bool) -> Outcome:
+        attempts_by_call: dict[str, list[ReceivedAttempt]] = defaultdict(list)
+        for instance in self.instances:
+            for attempt in instance.received:
+                attempts_by_call[attempt.request].append(attempt)
+        broken = list(self._late_attempts)
         if not done:
-            broken.append("the campaign did not come to rest")
+            broken.append("the campaign did not end: some calls are unfinished")
         broken += [f"task {name}: {exc!r}" for name, exc in self.loop.errors]
         if self.host.faults:
-            broken.append(f"the decisions failed {self.host.faults} times")
+            broken.append(f"the decisions raised {self.host.faults} exceptions")
         if self.front.ledger.held:
-            broken.append(f"{self.front.ledger.held} bytes of requests are still held")
-        for asked in self.asked:
-            runs = sorted(by_call[asked.id], key=lambda taken: taken.at)
-            broken += [f"{asked.id}: {text}; {self.history(asked, runs)}" for text in check_call(asked, runs)]
+            broken.append(f"{self.front.ledger.held} bytes of requests are still buffered")
+        for call in self.calls:
+            attempts = sorted(attempts_by_call[call.id], key=lambda attempt: attempt.at)
+            broken += [
+                f"{call.id}: {text}; {self.history(call, attempts)}" for text in check_call(call, attempts)
+            ]
         return Outcome(
             self.seed,
             self.count,
-            Counter(a.status for a in self.asked if not a.cancelled),
-            sum(len(runs) for runs in by_call.values()),
-            Counter(taken.response.ending for runs in by_call.values() for taken in runs),
+            Counter(a.status for a in self.calls if not a.cancelled),
+            sum(len(attempts) for attempts in attempts_by_call.values()),
+            Counter(
+                attempt.response.ending for attempts in attempts_by_call.values() for attempt in attempts
+            ),
             broken,
         )
 
     @staticmethod
-    def history(asked: ClientCall, runs: list[ReceivedAttempt]) -> str:
-        """All that happened to a call, in one line."""
+    def history(call: ClientCall, attempts: list[ReceivedAttempt]) -> str:
+        """Describe all that happened to a call, in one line."""
         parts = [
-            f"{taken.box} at {(taken.at - asked.began) / 1e6:+.3f} s {taken.response}, told {taken.ending_sent}, "
-            f"dropped {taken.dropped}, given up {taken.abort_code}"
-            for taken in runs
+            f"{attempt.instance} at {(attempt.at - call.began) / 1e6:+.3f} s {attempt.response}, "
+            f"ending sent {attempt.ending_sent}, dropped {attempt.dropped}, abort code {attempt.abort_code}"
+            for attempt in attempts
         ]
         return (
-            f"{'unsafe' if asked.unsafe else 'safe'}, {asked.timeout / 1e6} s, endings {asked.endings}, "
-            f"status {asked.status}, cancelled {asked.cancelled}: {'; '.join(parts) or 'no attempt'}"
+            f"{'unsafe' if call.unsafe else 'safe'}, {call.timeout / 1e6} s, endings {call.endings}, "
+            f"status {call.status}, cancelled {call.cancelled}: {'; '.join(parts) or 'no attempt'}"
         )
 
 
-def check_call(asked: ClientCall, runs: list[ReceivedAttempt]) -> list[str]:
-    """The rules that one call broke. Pure."""
-    found: list[str] = []
-    may_have_run = [taken for taken in runs if not taken.never_ran]
-    if asked.unsafe and len(may_have_run) > 1:
-        found.append(f"must never run twice and may have run {len(may_have_run)} times")
-    if len(runs) > 4:
-        found.append(f"{len(runs)} attempts")
-    if asked.cancelled:
-        return found + [
-            f"cancelled, and {taken.box} was not told"
-            for taken in runs
-            if not taken.ending_sent and taken.abort_code is None
+def check_call(call: ClientCall, attempts: list[ReceivedAttempt]) -> list[str]:
+    """Return one line for each rule that a call broke."""
+    violations: list[str] = []
+    may_have_run = [attempt for attempt in attempts if not attempt.never_ran]
+    if call.unsafe and len(may_have_run) > 1:
+        violations.append(f"must never run twice and may have run {len(may_have_run)} times")
+    if len(attempts) > 4:
+        violations.append(f"{len(attempts)} attempts")
+    if call.cancelled:
+        return violations + [
+            f"cancelled, and {attempt.instance} was not told"
+            for attempt in attempts
+            if not attempt.ending_sent and attempt.abort_code is None
         ]
-    if asked.endings != ["status"]:
-        return [*found, f"had the endings {asked.endings}"]
-    for earlier, later in itertools.pairwise(runs):
+    if call.endings != ["status"]:
+        return [*violations, f"had the endings {call.endings}"]
+    for earlier, later in itertools.pairwise(attempts):
         if earlier.response.messages and earlier.ending_sent and not earlier.dropped:
-            found.append(f"went to {later.box} though its answer had begun")
-    if asked.ended_at > asked.began + asked.timeout:
-        found.append("was answered after its deadline")
-    if asked.status not in expected(asked, runs):
-        found.append(f"status {asked.status}, expected one of {sorted(expected(asked, runs))}")
+            violations.append(f"went to {later.instance} though its answer had begun")
+    if call.ended_at > call.began + call.timeout:
+        violations.append("was answered after its deadline")
+    if call.status not in allowed_statuses(call, attempts):
+        violations.append(f"status {call.status}, expected one of {sorted(allowed_statuses(call, attempts))}")
     if (
-        asked.status == 0
-        and runs
-        and asked.messages != b"".join(b"\0\0\0\0\1%c" % (i % 256) for i in range(runs[-1].response.messages))
+        call.status == 0
+        and attempts
+        and call.messages
+        != b"".join(b"\0\0\0\0\1%c" % (i % 256) for i in range(attempts[-1].response.messages))
     ):
-        found.append("the messages differ from those sent")
-    found += [
-        f"ended, and {taken.box} was not told"
-        for taken in runs
-        if not taken.ending_sent and taken.abort_code is None
+        violations.append("the messages differ from those sent")
+    violations += [
+        f"ended, and {attempt.instance} was not told"
+        for attempt in attempts
+        if not attempt.ending_sent and attempt.abort_code is None
     ]
-    return found
+    return violations
 
 
-def expected(asked: ClientCall, runs: list[ReceivedAttempt]) -> set[int]:
-    """The statuses that the table allows for what the boxes did."""
-    near_end = asked.ended_at >= asked.began + int(asked.timeout * 0.85) - 30_000
-    allowed = {DEADLINE} if near_end else set()
-    if not runs:
+def allowed_statuses(call: ClientCall, attempts: list[ReceivedAttempt]) -> set[int]:
+    """Return the statuses that are allowed for what the instances did."""
+    near_deadline = call.ended_at >= call.began + int(call.timeout * 0.85) - 30_000
+    allowed = {DEADLINE} if near_deadline else set()
+    if not attempts:
         return allowed | {UNAVAILABLE}
-    last = runs[-1]
-    act = last.response
+    last = attempts[-1]
+    response = last.response
     if last.abort_code == -1:
-        allowed.add(UNAVAILABLE)  # the box crashed, or another call's fault cut the connection
+        allowed.add(UNAVAILABLE)  # the instance crashed, or another call's fault closed the connection
     if not last.ending_sent:
         return allowed | {UNAVAILABLE} if last.abort_code == -1 else allowed
     if last.dropped:
         allowed.add(UNAVAILABLE)
-    elif act.ending in ("status", "only"):
-        allowed.add(act.code)
-    elif act.ending == "reset":
-        allowed.add(RESETS[act.code])
-    elif act.ending in ("cut", "nack", "refuse", "goaway"):
+    elif response.ending in ("status", "only"):
+        allowed.add(response.code)
+    elif response.ending == "reset":
+        allowed.add(STATUS_BY_RESET_CODE[response.code])
+    elif response.ending in ("cut", "nack", "refuse", "goaway"):
         allowed.add(UNAVAILABLE)
-    if asked.refused:
+    if call.refused:
         allowed.add(UNAVAILABLE)
-        if asked.unsafe and any(not taken.never_ran for taken in runs):
-            allowed.discard(UNAVAILABLE)  # refused means that a repeat is harmless
+        if call.unsafe and any(not attempt.never_ran for attempt in attempts):
+            allowed.discard(UNAVAILABLE)  # a refusal promises that a repeat is harmless
     return allowed
