--- a/benchmarks/admin_listener.py
+++ b/benchmarks/admin_listener.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 from benchmarks.fixture import machine
-from pulleyroute.lab.upgrade import PROGRAM, call, world
+from pulleyroute.lab.upgrade import PROGRAM, call_status, platform_under_load
 from pulleyroute.net.http import parse_address
 
 SECONDS = 6.0  # a flood
@@ -37,7 +37,7 @@
 def look(admin: str, path: str, want: tuple[int, ...], looks: Looks) -> None:
     """One call on a connection of its own."""
     began = time.monotonic()
-    looks.wrong += call(admin, "GET", path) not in want
+    looks.wrong += call_status(admin, "GET", path) not in want
     looks.took.append(time.monotonic() - began)
 
 
@@ -98,7 +98,7 @@
 
 def main() -> int:
     rows: list[tuple[str, Looks]] = []
-    with world(PROGRAM, 8, 20, slots=8, mean_ms=40) as at:
+    with platform_under_load(PROGRAM, 8, 20, slots=8, mean_ms=40) as at:
         clients = at.platform.address
         program, admin = at.platform.processes[-1]
         half = b"GET /status HTT"
@@ -117,7 +117,7 @@
         ]
         for name, flood, threads in floods:
             rows.append((name, under(admin, flood, threads)))
-        call(admin, "POST", "/standby")
+        call_status(admin, "POST", "/standby")
         rows.append(
             ("a drain, with silent connections", under(admin, holding(clients, b"", CONNECTIONS, 4), 1))
         )
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -9,20 +9,25 @@
 from pathlib import Path
 
 from benchmarks.fixture import machine
-from pulleyroute.lab.upgrade import MEMORY_MB, SOCKETS, play
+from pulleyroute.lab.upgrade import MEMORY_LIMIT_MB, SOCKET_LIMIT, run_upgrades
 
 UPGRADES = 6
 
 
 def main() -> int:
     rows, bad = [], 0
-    for name, hasty in (("usual boxes", 0.0), ("half the jobs' ends come before their 202", 0.5)):
-        result = play(upgrades=UPGRADES, clients=24, hasty=hasty, between=1.0)
-        one = [each for each in result.held if each.processes == 1]
-        two = [each for each in result.held if each.processes == 2]
+    for name, early_callback_share in (
+        ("usual boxes", 0.0),
+        ("half the jobs' ends come before their 202", 0.5),
+    ):
+        result = run_upgrades(
+            upgrades=UPGRADES, clients=24, early_callback_share=early_callback_share, interval=1.0
+        )
+        one = [each for each in result.resource_usage if each.processes == 1]
+        two = [each for each in result.resource_usage if each.processes == 2]
         served = sum(n for (_, ending), n in result.endings.items() if ending == "served")
         other = sum(result.endings.values()) - served
-        bad += len(result.broken) + len(result.unheard) + sum(map(abs, result.exits))
+        bad += len(result.broken) + len(result.lost_results) + sum(map(abs, result.exits))
         rows.append(
             (
                 name,
@@ -30,7 +35,7 @@
                 served,
                 other,
                 len(result.broken),
-                len(result.unheard),
+                len(result.lost_results),
                 *(f"{max(each.memory_mb for each in held):.0f}" for held in (one, two)),
                 *(max(each.descriptors for each in held) for held in (one, two)),
             )
@@ -56,7 +61,8 @@
                 [
                     "# Upgrades under load",
                     "",
-                    f"Command: `python -m benchmarks.upgrade --write`. Limits: {MEMORY_MB} MB, {SOCKETS}",
+                    f"Command: `python -m benchmarks.upgrade --write`. Limits: {MEMORY_LIMIT_MB} MB, "
+                    f"{SOCKET_LIMIT}",
                     "descriptors. Memory is resident, pages that both processes share counted",
                     "twice. The most of",
                     "looks every 20 ms.",
--- a/pulleyroute/lab/demo.py
+++ b/pulleyroute/lab/demo.py
@@ -23,12 +23,12 @@
 from hdrh.histogram import HdrHistogram
 
 from pulleyroute.emulator import Discovery, EventLog, GrpcInstance, ThreadedRunner
-from pulleyroute.lab.referee import ENDINGS, Kind
-from pulleyroute.lab.verdict import verdict
+from pulleyroute.lab.referee import ENDINGS, ClassRules
+from pulleyroute.lab.verdict import find_violations
 
 WAIT = 5  # seconds that a client waits
 KINDS = {
-    name: Kind(effect, WAIT * 1_000_000)
+    name: ClassRules(effect, WAIT * 1_000_000)
     for name, effect in (
         ("balance-check", "safe"),
         ("card-charge", "unsafe"),
@@ -240,7 +240,7 @@
         return Result(
             self.rows,
             attempts,
-            [f"{each.rule.value}: {each.text}" for each in verdict(self.book, KINDS)],
+            [f"{each.rule.value}: {each.text}" for each in find_violations(self.book, KINDS)],
             seconds,
         )
 
--- a/pulleyroute/lab/referee.py
+++ b/pulleyroute/lab/referee.py
@@ -1,9 +1,9 @@
-"""The four rules, judged from what clients, boxes and the list saw. Pure, and written apart from the
-dispatcher.
+"""A checker of the dispatcher's four rules, based on what clients, instances and discovery observed.
 
-A driver of whatever kind (stand-ins on sockets, simulated time) feeds events in the order of their times; the
-referee keeps what each request went through and tells every broken rule with that history. It never looks at
-the dispatcher. Times are microseconds of one clock; work is microseconds of running on a core of speed 1.
+It shares no code with the dispatcher and reads neither clock nor sockets. A driver (stand-ins on sockets, or
+a simulation) passes it events in the order of their times; the checker keeps the history of each request and
+reports every broken rule with that history. Times are in microseconds of one clock; work is in microseconds
+of running time on a core of speed 1.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-ENDINGS = {200: "served", 429: "refused", 503: "refused"}  # by the HTTP status; all others are "failed"
-SLACK = 50_000  # on sockets each time limit is longer by this
+ENDINGS = {200: "served", 429: "refused", 503: "refused"}  # by HTTP status; any other status is "failed"
+SLACK = 50_000  # microseconds; tolerance on each time limit for delays of sockets
 
 
 class Rule(Enum):
-    """Which rule; the texts are what a report says."""
+    """The rules. The values are the texts in reports."""
 
     ONE_ANSWER = "one final answer, before the client gives up"
     NO_REPEAT = "what may have run goes out again only where its class allows"
@@ -26,9 +26,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
-    """A class as the rules see it. `effect`: "safe", "keyed" or "unsafe"; a keyed repeat is dropped by the
-    boxes of the same `scope` ("all", "zone" or "cell") for `window`."""
+class ClassRules:
+    """What the rules say about one class of requests.
+
+    `effect` is "safe", "keyed" or "unsafe". Instances in the same `scope` ("all", "zone" or "cell") discard a
+    repeat of a keyed request for `window`. `give_up` and `window` are in microseconds.
+    """
 
     effect: str
     give_up: int
@@ -37,34 +40,36 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
-    """Where a box stands, for keyed repeats."""
+class Location:
+    """Zone and cell of an instance, which decide about repeats of keyed requests."""
 
     zone: str = ""
     cell: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class RequestSent:
+    """A client has sent a request."""
+
     at: int
     request: str
     kind: str
 
 
 @dataclass(slots=True, frozen=True)
-class Sent:
-    """An attempt's last byte reached a box. `work` counts against a cold one."""
+class AttemptSent:
+    """The last byte of an attempt has reached an instance. `work` counts against an instance that is cold."""
 
     at: int
     request: str
     attempt: int
-    box: str
+    instance: str
     work: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Proved:
-    """The dispatcher has been told that an attempt never ran."""
+class ProvedNotRun:
+    """The dispatcher has received proof that an attempt did not run."""
 
     at: int
     request: str
@@ -72,8 +77,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answered:
-    """A client has its answer: "served", "refused" or "failed"."""
+class RequestAnswered:
+    """A client has received its answer: "served", "refused" or "failed"."""
 
     at: int
     request: str
@@ -81,28 +86,30 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
-    """The list has told the dispatcher of a box: "active", "leaving" or "left"."""
+class PhaseReported:
+    """Discovery has reported the phase of an instance: "active", "leaving" or "left"."""
 
     at: int
-    box: str
+    instance: str
     phase: str
 
 
 @dataclass(slots=True, frozen=True)
-class Booted:
-    """A box has started cold. `capacity`: work it can do in a microsecond once it is warm."""
+class InstanceStarted:
+    """An instance has started cold. `capacity` is the work that it does in a microsecond once it is warm."""
 
     at: int
-    box: str
+    instance: str
     capacity: float
 
 
-Event = Asked | Sent | Proved | Answered | Told | Booted
+Event = RequestSent | AttemptSent | ProvedNotRun | RequestAnswered | PhaseReported | InstanceStarted
 
 
 @dataclass(slots=True, frozen=True)
-class Breach:
+class Violation:
+    """A broken rule, with the history of the request that broke it."""
+
     rule: Rule
     at: int
     text: str
@@ -110,9 +117,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Figures:
-    """The rules' figures: the grace of a drain; a box starts at `cold_share` of its capacity, is warm after
-    `ramp`, and falls at `multiple` times what it can do, kept up for `window`."""
+class RuleLimits:
+    """Parameters of the rules; times are in microseconds.
+
+    `grace` is the time after a drain in which new attempts are allowed. An instance starts with `cold_share`
+    of its capacity, is warm after `ramp`, and is overloaded by `multiple` times its current capacity if that
+    is sustained for `window`. `slack` is the tolerance on time limits.
+    """
 
     grace: int = 1_500_000
     cold_share: float = 1.0
@@ -124,172 +135,190 @@
 
 @dataclass(slots=True)
 class _Request:
-    kind: Kind
-    asked: int
+    kind: ClassRules
+    sent_at: int
     events: list[Event] = field(default_factory=list)
-    sent: list[Sent] = field(default_factory=list)
-    proved: set[int] = field(default_factory=set)
-    answers: list[Answered] = field(default_factory=list)
+    attempts: list[AttemptSent] = field(default_factory=list)
+    proved_not_run: set[int] = field(default_factory=set)
+    answers: list[RequestAnswered] = field(default_factory=list)
 
 
-class Referee:
-    """Hears a whole run. `broken` is what it found, in the order it was found."""
+class RuleChecker:
+    """Checks the events of one run. `broken` lists the violations in the order in which they were found."""
 
     def __init__(
-        self, kinds: dict[str, Kind], figures: Figures | None = None, places: dict[str, Place] | None = None
+        self,
+        kinds: dict[str, ClassRules],
+        limits: RuleLimits | None = None,
+        locations: dict[str, Location] | None = None,
     ) -> None:
-        self._kinds, self._figures = kinds, figures or Figures()
-        self._places = places or {}
+        self._kinds, self._limits = kinds, limits or RuleLimits()
+        self._locations = locations or {}
         self._requests: dict[str, _Request] = {}
-        self._told: dict[str, Told] = {}  # boxes that are not to get anything new
-        self._booted: dict[str, Booted] = {}
-        self._recent: dict[str, deque[Sent]] = defaultdict(deque)
+        self._draining: dict[str, PhaseReported] = {}  # by name of the instance that drains or has left
+        self._started: dict[str, InstanceStarted] = {}
+        self._recent_attempts: dict[str, deque[AttemptSent]] = defaultdict(deque)
         self._now = 0
-        self.broken: list[Breach] = []
+        self.broken: list[Violation] = []
 
-    def hear(self, event: Event) -> None:
-        """One event; raises ValueError if it is out of order or of a request that nobody asked for."""
+    def process(self, event: Event) -> None:
+        """Check one event. Raises ValueError if it is out of order or belongs to no known request."""
         if event.at < self._now:
-            raise ValueError(f"{event} comes after {self._now}")
+            raise ValueError(f"{event} is earlier than the event before it, at {self._now}")
         self._now = event.at
-        if isinstance(event, Told):
+        if isinstance(event, PhaseReported):
             if event.phase == "active":
-                self._told.pop(event.box, None)
+                self._draining.pop(event.instance, None)
             else:
-                self._told.setdefault(event.box, event)
+                self._draining.setdefault(event.instance, event)
             return
-        if isinstance(event, Booted):
-            self._booted[event.box] = event
-            self._recent[event.box].clear()
+        if isinstance(event, InstanceStarted):
+            self._started[event.instance] = event
+            self._recent_attempts[event.instance].clear()
             return
-        if isinstance(event, Asked):
+        if isinstance(event, RequestSent):
             if event.request in self._requests:
-                raise ValueError(f"{event.request} was asked for twice")
+                raise ValueError(f"request {event.request} was sent twice by its client")
             self._requests[event.request] = _Request(self._kinds[event.kind], event.at, [event])
             return
         request = self._requests.get(event.request)
         if request is None:
-            raise ValueError(f"nobody asked for {event.request}")
+            raise ValueError(f"no client has sent request {event.request}")
         request.events.append(event)
-        if isinstance(event, Proved):
-            request.proved.add(event.attempt)
-        elif isinstance(event, Answered):
-            self._answer(request, event)
+        if isinstance(event, ProvedNotRun):
+            request.proved_not_run.add(event.attempt)
+        elif isinstance(event, RequestAnswered):
+            self._on_answer(request, event)
         else:
-            self._send(request, event)
+            self._on_attempt(request, event)
 
-    def finish(self, at: int) -> list[Breach]:
-        """The run is over: who has no answer by now has none."""
+    def finish(self, at: int) -> list[Violation]:
+        """End the run at a time, and report the requests that have had no answer."""
         for name, request in self._requests.items():
-            if not request.answers and at > request.asked + request.kind.give_up + self._figures.slack:
-                self._tell(Rule.ONE_ANSWER, at, f"{name} had no answer", request)
+            if not request.answers and at > request.sent_at + request.kind.give_up + self._limits.slack:
+                self._report(Rule.ONE_ANSWER, at, f"{name} had no answer", request)
         return self.broken
 
-    def _tell(self, rule: Rule, at: int, text: str, request: _Request | None) -> None:
+    def _report(self, rule: Rule, at: int, text: str, request: _Request | None) -> None:
         history = self.history(request) if request is not None else ""
-        self.broken.append(Breach(rule, at, text, history))
+        self.broken.append(Violation(rule, at, text, history))
 
     @staticmethod
     def history(request: _Request) -> str:
-        """All that a request went through, in one line; times from its asking, in seconds."""
-        return "; ".join(f"{(event.at - request.asked) / 1e6:+.3f} {event}" for event in request.events)
+        """Describe the events of a request in one line, with seconds since it was sent."""
+        return "; ".join(f"{(event.at - request.sent_at) / 1e6:+.3f} {event}" for event in request.events)
 
-    def _answer(self, request: _Request, event: Answered) -> None:
+    def _on_answer(self, request: _Request, event: RequestAnswered) -> None:
         request.answers.append(event)
         if len(request.answers) > 1:
-            self._tell(
+            self._report(
                 Rule.ONE_ANSWER, event.at, f"{event.request} had {len(request.answers)} answers", request
             )
-        if event.at > request.asked + request.kind.give_up + self._figures.slack:
-            self._tell(
+        if event.at > request.sent_at + request.kind.give_up + self._limits.slack:
+            self._report(
                 Rule.ONE_ANSWER, event.at, f"{event.request} was answered after its give-up time", request
             )
         if event.ending == "refused" and request.kind.effect == "unsafe":
-            ran = [each for each in request.sent if each.attempt not in request.proved]
+            ran = [each for each in request.attempts if each.attempt not in request.proved_not_run]
             if ran:
                 # A refusal promises that a repeat is harmless.
-                self._tell(
+                self._report(
                     Rule.NO_REPEAT,
                     event.at,
-                    f"{event.request} was refused and may have run at {ran[0].box}",
+                    f"{event.request} was refused and may have run at {ran[0].instance}",
                     request,
                 )
 
-    def _send(self, request: _Request, event: Sent) -> None:
-        told = self._told.get(event.box)
-        if told is not None and event.at > told.at + self._figures.grace + self._figures.slack:
-            late = (event.at - told.at) / 1e6
-            self._tell(
+    def _on_attempt(self, request: _Request, event: AttemptSent) -> None:
+        draining = self._draining.get(event.instance)
+        if draining is not None and event.at > draining.at + self._limits.grace + self._limits.slack:
+            late = (event.at - draining.at) / 1e6
+            self._report(
                 Rule.DRAIN,
                 event.at,
-                f"{event.request} went to {event.box} {late:.2f} s after it was told " f"{told.phase}",
+                f"{event.request} went to {event.instance} {late:.2f} s after it was told "
+                f"{draining.phase}",
                 request,
             )
-        earlier = [each for each in request.sent if each.attempt not in request.proved]
-        request.sent.append(event)
+        earlier = [each for each in request.attempts if each.attempt not in request.proved_not_run]
+        request.attempts.append(event)
         for each in earlier:
             if not self._may_repeat(request.kind, each, event):
-                self._tell(
+                self._report(
                     Rule.NO_REPEAT,
                     event.at,
-                    f"{event.request} may have run at {each.box} and went to " f"{event.box}",
+                    f"{event.request} may have run at {each.instance} and went to " f"{event.instance}",
                     request,
                 )
                 break
-        self._warm(request, event)
+        self._check_cold_start(request, event)
 
-    def _may_repeat(self, kind: Kind, first: Sent, again: Sent) -> bool:
+    def _may_repeat(self, kind: ClassRules, first: AttemptSent, again: AttemptSent) -> bool:
         if kind.effect == "safe":
             return True
         if kind.effect == "unsafe":
             return False
-        if again.at > first.at + kind.window + self._figures.slack:
+        if again.at > first.at + kind.window + self._limits.slack:
             return False
-        here, there = (self._places.get(each.box, Place()) for each in (first, again))
+        first_location, second_location = (
+            self._locations.get(each.instance, Location()) for each in (first, again)
+        )
         if kind.scope == "all":
             return True
-        return here.zone == there.zone and (kind.scope == "zone" or here.cell == there.cell)
+        return first_location.zone == second_location.zone and (
+            kind.scope == "zone" or first_location.cell == second_location.cell
+        )
 
-    def _warm(self, request: _Request, event: Sent) -> None:
-        booted, figures = self._booted.get(event.box), self._figures
-        if booted is None or not figures.ramp:
+    def _check_cold_start(self, request: _Request, event: AttemptSent) -> None:
+        started, limits = self._started.get(event.instance), self._limits
+        if started is None or not limits.ramp:
             return
-        age = event.at - booted.at
-        if age >= figures.ramp:
-            del self._booted[event.box]
+        age = event.at - started.at
+        if age >= limits.ramp:
+            del self._started[event.instance]
             return
-        recent = self._recent[event.box]
-        recent.append(event)
-        while recent[0].at < event.at - figures.window:
-            recent.popleft()
-        share = figures.cold_share + (1 - figures.cold_share) * age / figures.ramp
-        budget = figures.multiple * share * booted.capacity * figures.window
-        work = sum(each.work for each in recent)
+        recent_attempts = self._recent_attempts[event.instance]
+        recent_attempts.append(event)
+        while recent_attempts[0].at < event.at - limits.window:
+            recent_attempts.popleft()
+        share = limits.cold_share + (1 - limits.cold_share) * age / limits.ramp
+        budget = limits.multiple * share * started.capacity * limits.window
+        work = sum(each.work for each in recent_attempts)
         if work > budget:
-            self._tell(
+            self._report(
                 Rule.COLD,
                 event.at,
-                f"{event.box}, {age / 1e6:.2f} s old, was sent {work / budget:.2f} times "
+                f"{event.instance}, {age / 1e6:.2f} s old, was sent {work / budget:.2f} times "
                 f"the work that it falls at",
                 request,
             )
-            recent.clear()  # told once a window
+            recent_attempts.clear()  # one report for each window
 
 
-def judge(
+def check_events(
     events: list[Event],
-    kinds: dict[str, Kind],
-    figures: Figures | None = None,
-    places: dict[str, Place] | None = None,
+    kinds: dict[str, ClassRules],
+    limits: RuleLimits | None = None,
+    locations: dict[str, Location] | None = None,
     until: int | None = None,
-) -> list[Breach]:
-    """A whole run at once, its events in any order; `until`: when it was over, the last event without it."""
-    ordered = sorted(events, key=lambda event: (event.at, _ORDER[type(event)]))
-    referee = Referee(kinds, figures, places)
-    for event in ordered:
-        referee.hear(event)
-    return referee.finish(until if until is not None else ordered[-1].at if ordered else 0)
-
+) -> list[Violation]:
+    """Check all events of a run, which may be in any order.
 
-# Of events at one moment: what is told comes before what is done.
-_ORDER: dict[type, int] = {Booted: 0, Told: 1, Asked: 2, Proved: 3, Sent: 4, Answered: 5}
+    `until` is the time at which the run ended; without it, that is the time of the last event.
+    """
+    ordered = sorted(events, key=lambda event: (event.at, _EVENT_ORDER[type(event)]))
+    checker = RuleChecker(kinds, limits, locations)
+    for event in ordered:
+        checker.process(event)
+    return checker.finish(until if until is not None else ordered[-1].at if ordered else 0)
+
+
+# Order of events at the same time: reports come before the actions that depend on them.
+_EVENT_ORDER: dict[type, int] = {
+    InstanceStarted: 0,
+    PhaseReported: 1,
+    RequestSent: 2,
+    ProvedNotRun: 3,
+    AttemptSent: 4,
+    RequestAnswered: 5,
+}
--- a/pulleyroute/lab/upgrade.py
+++ b/pulleyroute/lab/upgrade.py
@@ -1,7 +1,8 @@
-"""Upgrades under load on loopback stand-ins: the platform, clients that keep their connections, a verdict.
+"""Upgrades of the dispatcher under load, on loopback stand-ins, checked against the dispatcher's rules.
 
-The platform holds the clients' listening socket and starts the real program beside itself, again and again;
-the old process gets SIGTERM when the new one says yes at its admin listener. The referee sees one dispatcher.
+The platform owns the clients' listening socket and starts one process of the dispatcher after another, each
+beside the one before it. The old process gets SIGTERM once the admin listener of the new one answers 200. The
+rule checker treats all processes as one dispatcher.
 """
 
 from __future__ import annotations
@@ -25,21 +26,21 @@
 
 from pulleyroute.emulator import Discovery, EventLog, ThreadedRunner
 from pulleyroute.lab.demo import free_port
-from pulleyroute.lab.referee import ENDINGS, Breach, Kind
-from pulleyroute.lab.verdict import verdict
+from pulleyroute.lab.referee import ENDINGS, ClassRules, Violation
+from pulleyroute.lab.verdict import find_violations
 from pulleyroute.net.http import parse_address
 
-GIVE_UP = 60  # seconds: far more than a run takes, so that only what is lost is late
-PATIENCE = 60.0  # for anything that only a broken program keeps waiting for
+GIVE_UP_S = 60  # far more than a run takes, so that only lost requests exceed it
+TIMEOUT_S = 60.0  # for starts, stops and calls of a process; only a broken program reaches it
 EFFECTS = {"balance-check": "safe", "card-charge": "unsafe"}
-NAMES = {"safe": "read_like", "unsafe": "non_idempotent"}  # as the settings call them
+EFFECT_NAMES = {"safe": "read_like", "unsafe": "non_idempotent"}  # effect in the settings
 PROGRAM = [sys.executable, "-m", "pulleyroute"]
-SOCKETS, MEMORY_MB = 256, 80
+SOCKET_LIMIT, MEMORY_LIMIT_MB = 256, 80
 
 
 @dataclass(slots=True)
-class Held:
-    """What the processes of the dispatcher held together at one moment."""
+class ResourceUsage:
+    """Resources that all processes of the dispatcher use together at one moment."""
 
     processes: int
     memory_mb: float
@@ -48,20 +49,23 @@
 
 @dataclass(slots=True)
 class Result:
-    """`endings` by kind and ending; `unheard`: requests whose end a dispatcher has said to have heard from a
-    box, and whose client was not served all the same."""
+    """Result of a run.
+
+    `endings` counts requests by kind and ending. `lost_results` has the requests whose call-back a dispatcher
+    acknowledged to a runner, but whose client was not served.
+    """
 
     endings: Counter[tuple[str, str]]
-    broken: list[Breach]
-    unheard: list[str]
-    exits: list[int]  # of the processes, in their order
-    held: list[Held] = field(default_factory=list)
+    broken: list[Violation]
+    lost_results: list[str]
+    exits: list[int]  # exit statuses of the processes, in the order of their starts
+    resource_usage: list[ResourceUsage] = field(default_factory=list)
 
 
-def config(discovery: Discovery, listen: str, give_up: int) -> dict[str, object]:
-    """The platform's configuration of a dispatcher in front of such boxes, which it knows from the start."""
+def dispatcher_config(discovery: Discovery, listen: str, give_up: int) -> dict[str, object]:
+    """Return the configuration of a dispatcher that knows the instances of `discovery` from its start."""
     classes = [
-        {"name": name, "effect": NAMES[effect], "aim": 20_000_000, "give-up": give_up * 1_000_000}
+        {"name": name, "effect": EFFECT_NAMES[effect], "aim": 20_000_000, "give-up": give_up * 1_000_000}
         for name, effect in EFFECTS.items()
     ]
     return {
@@ -70,7 +74,7 @@
         "discovery": discovery.address,
         "seed": "1",
         "known": json.loads(discovery.snapshot()),
-        "limits": {"memory_mb": MEMORY_MB, "sockets": SOCKETS},
+        "limits": {"memory_mb": MEMORY_LIMIT_MB, "sockets": SOCKET_LIMIT},
         "settings": {
             "balancers": 1,
             "me": 0,
@@ -102,7 +106,7 @@
 
 
 class Platform:
-    """Owns the clients' socket, the folder and the processes."""
+    """Owns the clients' listening socket, the folder of the configuration and the dispatcher's processes."""
 
     def __init__(self, folder: Path, program: list[str]) -> None:
         self._folder, self._program = folder, program
@@ -112,11 +116,11 @@
         self.processes: list[tuple[subprocess.Popen[bytes], str]] = []
 
     def configure(self, discovery: Discovery, give_up: int) -> None:
-        """Write the configuration that the next process reads."""
-        self._config.write_text(json.dumps(config(discovery, self.address, give_up)))
+        """Write the configuration that the next process reads; `give_up` is in seconds."""
+        self._config.write_text(json.dumps(dispatcher_config(discovery, self.address, give_up)))
 
     def start(self) -> None:
-        """One more process; returns once it says yes at its admin listener."""
+        """Start one more process and wait until its admin listener answers 200."""
         admin = f"127.0.0.1:{free_port()}"
         number = self.sock.fileno()
         env = {
@@ -129,21 +133,21 @@
         with (self._folder / "log").open("ab") as log:
             process = subprocess.Popen(self._program, env=env, stderr=log, pass_fds=[number])
         self.processes.append((process, admin))
-        end = time.monotonic() + PATIENCE
-        while call(admin, "GET", "/status") != 200:
+        end = time.monotonic() + TIMEOUT_S
+        while call_status(admin, "GET", "/status") != 200:
             if process.poll() is not None or time.monotonic() > end:
-                raise RuntimeError(f"it did not start: {(self._folder / 'log').read_text()[-800:]}")
+                raise RuntimeError(f"the program did not start: {(self._folder / 'log').read_text()[-800:]}")
             time.sleep(0.02)
 
     def upgrade(self) -> None:
-        """One more process, and the end of the one before it."""
+        """Start one more process, and stop the one before it."""
         old, _ = self.processes[-1]
         self.start()
         old.send_signal(signal.SIGTERM)
-        old.wait(PATIENCE)
+        old.wait(TIMEOUT_S)
 
-    def held(self) -> Held:
-        """Memory (resident, in MiB) and descriptors of all that run."""
+    def resource_usage(self) -> ResourceUsage:
+        """Return the resident memory and the descriptors of all running processes."""
         memory = descriptors = processes = 0
         for process, _ in self.processes:
             with contextlib.suppress(OSError, ValueError):
@@ -151,18 +155,19 @@
                 descriptors += len(os.listdir(f"/proc/{process.pid}/fd"))
                 memory += pages * os.sysconf("SC_PAGE_SIZE")
                 processes += 1
-        return Held(processes, memory / 2**20, descriptors)
+        return ResourceUsage(processes, memory / 2**20, descriptors)
 
     def close(self) -> None:
+        """Kill all processes and close the socket."""
         for process, _ in self.processes:
             process.kill()
             process.wait()
         self.sock.close()
 
 
-def call(address: str, method: str, path: str) -> int:
-    """The status of a call without a body; 0 where nobody answers."""
-    connection = http.client.HTTPConnection(*parse_address(address), timeout=PATIENCE)
+def call_status(address: str, method: str, path: str) -> int:
+    """Make a call without a body and return its HTTP status, or 0 if there is no answer."""
+    connection = http.client.HTTPConnection(*parse_address(address), timeout=TIMEOUT_S)
     try:
         connection.request(method, path)
         return connection.getresponse().status
@@ -173,21 +178,28 @@
 
 
 class Client(threading.Thread):
-    """Asks again and again on the connection that it keeps."""
+    """Sends one request after another on a kept connection until `stop_requested` is set."""
 
-    def __init__(self, name: str, address: str, book: EventLog, over: threading.Event, give_up: int) -> None:
+    def __init__(
+        self, name: str, address: str, event_log: EventLog, stop_requested: threading.Event, give_up: int
+    ) -> None:
         super().__init__(daemon=True)
-        self._mark, self._address, self._book, self._over = name, address, book, over
+        self._id_prefix, self._address, self._event_log, self._stop_requested = (
+            name,
+            address,
+            event_log,
+            stop_requested,
+        )
         self._give_up = give_up
         self._random = random.Random(name)
 
     def run(self) -> None:
         connection = http.client.HTTPConnection(*parse_address(self._address), timeout=self._give_up + 10)
         count = 0
-        while not self._over.is_set():
-            kind, request = self._random.choice(list(EFFECTS)), f"{self._mark}-{count}"
+        while not self._stop_requested.is_set():
+            kind, request = self._random.choice(list(EFFECTS)), f"{self._id_prefix}-{count}"
             count += 1
-            self._book.record_request(request, kind)
+            self._event_log.record_request(request, kind)
             try:
                 connection.request(
                     "POST", f"/{kind}", b"{}", {"X-Txn": request, "X-Remaining-Ms": str(self._give_up * 1000)}
@@ -198,81 +210,111 @@
             except (OSError, http.client.HTTPException):
                 ending = "lost"
                 connection.close()
-            self._book.record_answer(request, ending)
+            self._event_log.record_answer(request, ending)
             time.sleep(self._random.random() * 0.02)
         connection.close()
 
 
 @dataclass(slots=True)
-class World:
-    """A platform with the program on it, and its clients, which ask until `over` is set."""
+class LoadedPlatform:
+    """A platform with a running dispatcher, and its clients, which send until `stop_requested` is set."""
 
     platform: Platform
-    book: EventLog
-    load: list[Client]
-    over: threading.Event
+    event_log: EventLog
+    load_clients: list[Client]
+    stop_requested: threading.Event
 
 
 @contextlib.contextmanager
-def world(
-    program: list[str], clients: int, give_up: int, slots: int = 6, mean_ms: float = 60, hasty: float = 0.0
-) -> Iterator[World]:
-    """The program in front of three boxes, under load; all of it is ended whatever happens."""
-    book, over, discovery = EventLog(), threading.Event(), Discovery()
+def platform_under_load(
+    program: list[str],
+    clients: int,
+    give_up: int,
+    slots: int = 6,
+    mean_ms: float = 60,
+    early_callback_share: float = 0.0,
+) -> Iterator[LoadedPlatform]:
+    """Run the program under load in front of three runners, and stop everything at the end.
+
+    `give_up` is in seconds.
+    """
+    event_log, stop_requested, discovery = EventLog(), threading.Event(), Discovery()
     with tempfile.TemporaryDirectory() as folder:
         platform = Platform(Path(folder), program)
-        boxes = [
-            ThreadedRunner(f"box-{i}", book, platform.address, slots, mean_ms, seed=i, hasty=hasty)
+        runners = [
+            ThreadedRunner(
+                f"box-{i}",
+                event_log,
+                platform.address,
+                slots,
+                mean_ms,
+                seed=i,
+                early_callback_share=early_callback_share,
+            )
             for i in range(3)
         ]
-        load = [Client(f"c{i}", platform.address, book, over, give_up) for i in range(clients)]
+        load_clients = [
+            Client(f"c{i}", platform.address, event_log, stop_requested, give_up) for i in range(clients)
+        ]
         try:
-            for box in boxes:
-                discovery.put(box.name, box.address)
+            for runner in runners:
+                discovery.put(runner.name, runner.address)
             platform.configure(discovery, give_up)
             platform.start()
-            for client in load:
+            for client in load_clients:
                 client.start()
-            yield World(platform, book, load, over)
+            yield LoadedPlatform(platform, event_log, load_clients, stop_requested)
         finally:
-            over.set()
+            stop_requested.set()
             platform.close()
-            for box in boxes:
-                box.close()
+            for runner in runners:
+                runner.close()
             discovery.close()
 
 
-def play(
+def run_upgrades(
     upgrades: int = 2,
     clients: int = 16,
-    hasty: float = 0.0,
+    early_callback_share: float = 0.0,
     program: list[str] | None = None,
-    between: float = 0.5,
-    give_up: int = GIVE_UP,
+    interval: float = 0.5,
+    give_up: int = GIVE_UP_S,
 ) -> Result:
-    """Load, and so many upgrades in a row under it, `between` seconds apart."""
-    held: list[Held] = []
-    with world(program or PROGRAM, clients, give_up, hasty=hasty) as at:
-        platform, book = at.platform, at.book
-        threading.Thread(target=_watch, args=(platform, held, at.over), daemon=True).start()
+    """Run a load and `upgrades` upgrades in a row under it, `interval` seconds apart."""
+    resource_usage: list[ResourceUsage] = []
+    with platform_under_load(
+        program or PROGRAM, clients, give_up, early_callback_share=early_callback_share
+    ) as environment:
+        platform, event_log = environment.platform, environment.event_log
+        threading.Thread(
+            target=_sample_usage, args=(platform, resource_usage, environment.stop_requested), daemon=True
+        ).start()
         for _ in range(upgrades):
-            time.sleep(between)
+            time.sleep(interval)
             platform.upgrade()
-        time.sleep(between)
-        at.over.set()
-        for client in at.load:
+        time.sleep(interval)
+        environment.stop_requested.set()
+        for client in environment.load_clients:
             client.join(give_up + 20)
         last, _ = platform.processes[-1]
         last.send_signal(signal.SIGTERM)
-        last.wait(PATIENCE)
+        last.wait(TIMEOUT_S)
         exits = [process.returncode for process, _ in platform.processes]
-    kinds = {request: kind for request, (kind, _) in book.requests.items()}
-    endings = Counter((kinds[request], ending) for request, ending, _ in book.answers)
-    judged = {name: Kind(effect, give_up * 1_000_000) for name, effect in EFFECTS.items()}
-    served = {request for request, ending, _ in book.answers if ending == "served"}
-    return Result(endings, verdict(book, judged), sorted(book.acknowledged - served), exits, held)
-
-
-def _watch(platform: Platform, held: list[Held], over: threading.Event) -> None:
-    while not over.wait(0.02):
-        held.append(platform.held())
+    kinds = {request: kind for request, (kind, _) in event_log.requests.items()}
+    endings = Counter((kinds[request], ending) for request, ending, _ in event_log.answers)
+    rule_kinds = {name: ClassRules(effect, give_up * 1_000_000) for name, effect in EFFECTS.items()}
+    served = {request for request, ending, _ in event_log.answers if ending == "served"}
+    return Result(
+        endings,
+        find_violations(event_log, rule_kinds),
+        sorted(event_log.acknowledged - served),
+        exits,
+        resource_usage,
+    )
+
+
+def _sample_usage(
+    platform: Platform, resource_usage: list[ResourceUsage], stop_requested: threading.Event
+) -> None:
+    while not stop_requested.wait(0.02):
+        resource_usage.append(platform.resource_usage())
--- a/pulleyroute/lab/verdict.py
+++ b/pulleyroute/lab/verdict.py
@@ -1,27 +1,51 @@
-"""From what stand-ins and clients wrote down to the referee's verdict."""
+"""Checks the event log of stand-ins and clients against the dispatcher's rules."""
 
 from __future__ import annotations
 
 import time
 
 from pulleyroute.emulator import EventLog
-from pulleyroute.lab.referee import Answered, Asked, Breach, Event, Figures, Kind, Sent, Told, judge
-
-# On one machine the clients' threads share its time with all the rest: theirs is a little late.
+from pulleyroute.lab.referee import (
+    AttemptSent,
+    ClassRules,
+    Event,
+    PhaseReported,
+    RequestAnswered,
+    RequestSent,
+    RuleLimits,
+    Violation,
+    check_events,
+)
+
+# Microseconds. The clients' threads share the machine with all other processes and record their times late.
 SLACK = 500_000
 
 
-def verdict(book: EventLog, kinds: dict[str, Kind]) -> list[Breach]:
-    """The rules broken in a run that is over. However many processes served, they are one dispatcher."""
+def find_violations(event_log: EventLog, kinds: dict[str, ClassRules]) -> list[Violation]:
+    """Return the violations in the log of a finished run.
+
+    All processes that served during the run count as one dispatcher.
+    """
 
-    def micros(seconds: float) -> int:
+    def to_micros(seconds: float) -> int:
         return int(seconds * 1e6)
 
-    events: list[Event] = [Asked(micros(at), request, kind) for request, (kind, at) in book.requests.items()]
-    events += [Sent(micros(run.at), run.request, i, run.instance) for i, run in enumerate(book.attempts)]
-    events += [Told(micros(at), box, "leaving") for box, at in book.drained_at.items()]
+    events: list[Event] = [
+        RequestSent(to_micros(at), request, kind) for request, (kind, at) in event_log.requests.items()
+    ]
+    events += [
+        AttemptSent(to_micros(attempt.at), attempt.request, i, attempt.instance)
+        for i, attempt in enumerate(event_log.attempts)
+    ]
+    events += [
+        PhaseReported(to_micros(at), instance, "leaving") for instance, at in event_log.drained_at.items()
+    ]
     events += [
-        Answered(micros(at), request, ending) for request, ending, at in book.answers if ending != "lost"
+        RequestAnswered(to_micros(at), request, ending)
+        for request, ending, at in event_log.answers
+        if ending != "lost"
     ]
     longest = max(kind.give_up for kind in kinds.values())
-    return judge(events, kinds, Figures(slack=SLACK), until=micros(time.monotonic()) + 2 * longest)
+    return check_events(
+        events, kinds, RuleLimits(slack=SLACK), until=to_micros(time.monotonic()) + 2 * longest
+    )
