--- a/pulleyroute/emulator/runner.py
+++ b/pulleyroute/emulator/runner.py
@@ -1,8 +1,8 @@
-"""A job box on the loop, as a process of its own: takes, runs, calls back, and writes down what it saw.
+"""A job runner on the event loop, run as a process of its own: it accepts jobs, runs them and calls back.
 
-It has a listener for each dispatcher, since a job's end is told to the one that sent it. Each line of its
-book is one JSON object with the time of the machine's monotonic clock in microseconds: `start` and `end` of a
-job.
+It has one listener for each dispatcher, since the end of a job is reported to the dispatcher that sent it.
+Each line of its event log is a JSON object for the `start` or the `end` of a job, with the time of the
+machine's monotonic clock in microseconds.
 """
 
 from __future__ import annotations
@@ -28,24 +28,24 @@
 )
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Wait
 
-CALLS = 10  # tries of a call-back
-CALL_TIME, CALL_PAUSE = 2_000_000, 50_000
-LINE = 3  # jobs that may wait, for each slot
+CALLBACK_TRIES = 10
+CALLBACK_TIMEOUT_US, CALLBACK_PAUSE_US = 2_000_000, 50_000
+QUEUED_JOBS_PER_SLOT = 3  # a job beyond these is rejected
 
 
 @dataclass(slots=True)
-class Taken:
-    """A job taken and not over. `span`: us that it runs."""
+class Job:
+    """An accepted job that has not ended. `duration` is its running time in microseconds."""
 
     txn: str
     kind: str
     callback: tuple[str, int]
-    span: int
+    duration: int
     cancelled: bool = False
 
 
 class Runner:
-    """Owns the slots, the queue, the listeners and the book."""
+    """Owns the slots, the queue, the listeners and the event log."""
 
     def __init__(
         self,
@@ -57,11 +57,15 @@
         seed: int = 0,
         event_log: Path | None = None,
     ) -> None:
-        """`mean`: us that a job runs, exponentially drawn and at most ten times as long."""
-        self._loop, self._pool, self.name = loop, BufferPool(), name
+        """Start a listener on loopback for each address in `callbacks`.
+
+        The running time of a job is drawn from an exponential distribution with the mean `mean_us`, and is at
+        most ten times as long.
+        """
+        self._loop, self._buffers, self.name = loop, BufferPool(), name
         self._slots, self._mean_us, self._random = slots, mean_us, random.Random(seed)
-        self._jobs: dict[str, Taken] = {}
-        self._queue: deque[Taken] = deque()
+        self._jobs: dict[str, Job] = {}
+        self._queue: deque[Job] = deque()
         self._running = 0
         self._event_log = (
             os.open(event_log, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
@@ -73,16 +77,16 @@
             sock = socket.create_server(("127.0.0.1", 0), backlog=256)
             sock.setblocking(False)
             self.addresses.append(sock.getsockname())
-            loop.spawn(self._accepting(sock, callback), "listener")
+            loop.spawn(self._accept_connections(sock, callback), "listener")
 
-    def _note(self, what: str, job: Taken) -> None:
+    def _record(self, event: str, job: Job) -> None:
         if self._event_log is not None:
             os.write(
                 self._event_log,
                 json.dumps(
                     {
                         "at": self._loop.now(),
-                        "what": what,
+                        "what": event,
                         "txn": job.txn,
                         "kind": job.kind,
                         "box": self.name,
@@ -91,18 +95,18 @@
                 + b"\n",
             )
 
-    def _accepting(self, sock: socket.socket, callback: tuple[str, int]) -> Coroutine[None]:
+    def _accept_connections(self, sock: socket.socket, callback: tuple[str, int]) -> Coroutine[None]:
         while True:
             try:
-                near, _ = sock.accept()
+                connection, _ = sock.accept()
             except OSError:
                 yield Wait(sock.fileno(), READABLE)
                 continue
-            near.setblocking(False)
-            stream = Stream(self._loop, self._pool, near, server=True)
-            self._loop.spawn(self._serving(stream, callback), "call")
+            connection.setblocking(False)
+            stream = Stream(self._loop, self._buffers, connection, server=True)
+            self._loop.spawn(self._serve_connection(stream, callback), "call")
 
-    def _serving(self, stream: Stream, callback: tuple[str, int]) -> Coroutine[None]:
+    def _serve_connection(self, stream: Stream, callback: tuple[str, int]) -> Coroutine[None]:
         try:
             while (message := (yield from stream.request(None))) is not None:
                 status, body, headers = self._answer(
@@ -130,47 +134,47 @@
         if method == b"DELETE":
             job = self._jobs.get(path.rsplit("/", 1)[-1])
             if job is not None:
-                job.cancelled = True  # what waits is dropped when its turn comes; what runs goes on
+                job.cancelled = True  # a queued job is dropped when its turn comes; a running one goes on
             return 204, b"", []
         if not txn:
             return 404, b"", []
-        if len(self._queue) >= LINE * self._slots:
+        if len(self._queue) >= QUEUED_JOBS_PER_SLOT * self._slots:
             return 503, b"", [(b"X-Turned-Away", b"1")]
-        span = int(min(10.0, self._random.expovariate(1)) * self._mean_us)
-        job = Taken(txn.decode(), path.split("?")[0][1:], callback, span)
+        duration = int(min(10.0, self._random.expovariate(1)) * self._mean_us)
+        job = Job(txn.decode(), path.split("?")[0][1:], callback, duration)
         self._jobs[job.txn] = job
         self._queue.append(job)
-        self._next()
+        self._start_queued()
         return 202, b"", []
 
-    def _next(self) -> None:
+    def _start_queued(self) -> None:
         while self._queue and self._running < self._slots:
             job = self._queue.popleft()
             if job.cancelled:
                 self._jobs.pop(job.txn, None)
                 continue
             self._running += 1
-            self._note("start", job)
+            self._record("start", job)
             self._loop.spawn(self._run(job), "job")
 
-    def _run(self, job: Taken) -> Coroutine[None]:
-        yield Wait(until=self._loop.now() + job.span)
+    def _run(self, job: Job) -> Coroutine[None]:
+        yield Wait(until=self._loop.now() + job.duration)
         self._running -= 1
         self._jobs.pop(job.txn, None)
-        self._note("end", job)
-        self._next()
+        self._record("end", job)
+        self._start_queued()
         if not job.cancelled:
-            yield from self._tell(job)
+            yield from self._call_back(job)
 
-    def _tell(self, job: Taken) -> Coroutine[None]:
+    def _call_back(self, job: Job) -> Coroutine[None]:
         data = json.dumps(
             {"id": job.txn, "from": self.name, "state": "done", "result": f"done by {self.name}"}
         ).encode()
-        for _ in range(CALLS):
-            until = self._loop.now() + CALL_TIME
+        for _ in range(CALLBACK_TRIES):
+            until = self._loop.now() + CALLBACK_TIMEOUT_US
             with contextlib.suppress(ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, Malformed):
-                stream = yield from connect(self._loop, self._pool, job.callback, until)
+                stream = yield from connect(self._loop, self._buffers, job.callback, until)
                 answer = yield from exchange(stream, b"POST", b"/callback", until, data)
                 if answer.status in (200, 204):
                     return
-            yield Wait(until=self._loop.now() + CALL_PAUSE)
+            yield Wait(until=self._loop.now() + CALLBACK_PAUSE_US)
--- a/pulleyroute/lab/__init__.py
+++ b/pulleyroute/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Loads and judgements on the stand-ins."""
+"""Load generators, fault campaigns and rule checkers that run on the stand-ins."""
--- a/pulleyroute/lab/load.py
+++ b/pulleyroute/lab/load.py
@@ -1,8 +1,8 @@
-"""Load on a dispatcher, jobs or gRPC calls, open loop or closed, with what became of it.
+"""Load on a dispatcher with jobs or gRPC calls, in an open or a closed loop, and statistics of the results.
 
-Open loop: requests are due by a schedule, whatever becomes of the earlier ones, and the time of each counts
-from when it was due. A slow dispatcher so shows in every request that it held up, and not in fewer requests
-("coordinated omission"). Closed loop: so many clients, each with one request at a time.
+Open loop: requests are due by a schedule that does not depend on earlier ones, and the time of each counts
+from when it was due. A slow dispatcher therefore shows in every request that it delays, and not as fewer requests
+("coordinated omission"). Closed loop: a number of clients, each with one request at a time.
 """
 
 from __future__ import annotations
@@ -26,18 +26,20 @@
 from pulleyroute.lab.referee import ENDINGS
 from pulleyroute.net.http import parse_address
 
-OUT = 5000  # requests out at once in an open loop; one that is due beyond is counted as not sent
-KEPT = 256  # idle connections that are kept
+MAX_IN_FLIGHT = 5000  # requests of an open loop; one that is due beyond these is counted as not sent
+MAX_IDLE_CONNECTIONS = 256
 SERVED, REFUSED, FAILED, LOST = "served", "refused", "failed", "lost"
 
 
 class NotLoopback(ValueError):
-    """A target that is not on this machine."""
+    """The address of a target is not a loopback address."""
 
 
 def parse_loopback(address: str) -> tuple[str, int]:
-    """A loopback address; raises `NotLoopback` for any other, so that a slip of the pen loads nobody else's
-    machine."""
+    """Parse a loopback address, HOST:PORT.
+
+    Raises `NotLoopback` for any other, so that a mistyped address puts no load on another machine.
+    """
     try:
         host, port = parse_address(address)
     except ValueError as exc:
@@ -48,20 +50,27 @@
 
 
 class Target(Protocol):
-    """Something to load. `send` makes one request and says how it ended."""
+    """A destination of load."""
+
+    async def send(self, kind: str, number: int, timeout: float) -> str:
+        """Make one request and return how it ended: `SERVED`, `REFUSED`, `FAILED` or `LOST`.
+
+        `number` distinguishes the requests of a load; `timeout` is in seconds.
+        """
 
-    async def send(self, kind: str, number: int, timeout: float) -> str: ...
-    async def close(self) -> None: ...
+    async def close(self) -> None:
+        """Close the connections."""
 
 
 class JobTarget:
-    """The platform's clients' side: HTTP/1.1, one request a connection at a time, kept connections."""
+    """Sends jobs as the platform's clients do: HTTP/1.1, kept connections, one request at a time on each."""
 
     def __init__(self, address: str, body: bytes = b"{}") -> None:
         self._address = parse_loopback(address)
         self._body = body
         self._idle: list[tuple[h11.Connection, asyncio.StreamReader, asyncio.StreamWriter]] = []
-        self._mark = f"{random.SystemRandom().getrandbits(32):08x}"  # ids of two loads must not meet
+        # Random, so that the ids of two loads differ.
+        self._id_prefix = f"{random.SystemRandom().getrandbits(32):08x}"
 
     async def send(self, kind: str, number: int, timeout: float) -> str:
         try:
@@ -69,8 +78,8 @@
         except (TimeoutError, OSError, h11.RemoteProtocolError, EOFError):
             return LOST
 
-    async def _send(self, kind: str, number: int, timeout: float, fresh: bool = False) -> str:
-        kept = bool(self._idle) and not fresh
+    async def _send(self, kind: str, number: int, timeout: float, new_connection: bool = False) -> str:
+        kept = bool(self._idle) and not new_connection
         if kept:
             connection, reader, writer = self._idle.pop()
         else:
@@ -82,7 +91,7 @@
                 target=f"/{kind}",
                 headers=[
                     ("Host", "load"),
-                    ("X-Txn", f"{self._mark}-{number}"),
+                    ("X-Txn", f"{self._id_prefix}-{number}"),
                     ("X-Remaining-Ms", str(int(timeout * 1000))),
                     ("Content-Length", str(len(self._body))),
                 ],
@@ -96,7 +105,7 @@
                     data = await reader.read(65_536)
                     if not data and status == 0:
                         if kept:
-                            break  # closed between two requests, unread: once more on a new connection
+                            break  # closed before the request was read: sent again on a new connection
                         raise EOFError
                     kept = False
                     connection.receive_data(data)
@@ -105,12 +114,12 @@
                 elif isinstance(event, h11.EndOfMessage):
                     break
             done = connection.our_state is h11.DONE and connection.their_state is h11.DONE
-            if done and len(self._idle) < KEPT:
+            if done and len(self._idle) < MAX_IDLE_CONNECTIONS:
                 connection.start_next_cycle()
                 self._idle.append((connection, reader, writer))
                 writer = None  # type: ignore[assignment]
             if status == 0:
-                return await self._send(kind, number, timeout, fresh=True)
+                return await self._send(kind, number, timeout, new_connection=True)
             return ENDINGS.get(status, FAILED)
         finally:
             if writer is not None:
@@ -123,8 +132,10 @@
 
 
 class GrpcTarget:
-    """gRPC: a kind is `service/method`, or a service whose method is Unary; a message of so many bytes each
-    way."""
+    """Sends gRPC calls with one message each way.
+
+    A kind is `service/method`, or a service whose method is Unary.
+    """
 
     def __init__(
         self, address: str, body: bytes = b"hello", metadata: tuple[tuple[str, str], ...] = ()
@@ -151,8 +162,8 @@
 
 
 @dataclass(slots=True)
-class Kind:
-    """What became of one kind. Times in microseconds, of served requests and of all."""
+class KindResults:
+    """Results of one kind of request. The histograms hold times in microseconds."""
 
     endings: Counter[str] = field(default_factory=Counter)
     served: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 600_000_000, 3))
@@ -161,16 +172,17 @@
 
 @dataclass(slots=True)
 class Report:
-    """A whole load: what was due, what was not sent for want of room, and each kind."""
+    """Results of a load. `unsent` counts requests that were due beyond `MAX_IN_FLIGHT`."""
 
     due: int = 0
     unsent: int = 0
     seconds: float = 0.0
-    late: float = 0.0  # seconds that the generator itself ran behind its schedule, at worst
-    kinds: dict[str, Kind] = field(default_factory=dict)
+    late: float = 0.0  # seconds by which the generator ran behind its schedule, at worst
+    kinds: dict[str, KindResults] = field(default_factory=dict)
 
-    def note(self, kind: str, ending: str, took: float) -> None:
-        row = self.kinds.setdefault(kind, Kind())
+    def record(self, kind: str, ending: str, took: float) -> None:
+        """Count a request; `took` is in seconds."""
+        row = self.kinds.setdefault(kind, KindResults())
         row.endings[ending] += 1
         micros = max(1, int(took * 1e6))
         row.all.record_value(micros)
@@ -178,15 +190,18 @@
             row.served.record_value(micros)
 
     def rows(self) -> list[dict[str, Any]]:
-        """One a kind, for a table or a program; milliseconds, histograms in their own encoding."""
+        """Return one row for each kind, for a table or as JSON.
+
+        Times are in milliseconds; `histogram` is HdrHistogram's own encoding.
+        """
         return [
             {
                 "kind": name,
                 "sent": sum(kind.endings.values()),
                 **{ending: kind.endings[ending] for ending in (SERVED, REFUSED, FAILED, LOST)},
                 **{
-                    f"p{point:g}": round(kind.served.get_value_at_percentile(point) / 1000, 3)
-                    for point in (50, 90, 99, 99.9)
+                    f"p{percentile:g}": round(kind.served.get_value_at_percentile(percentile) / 1000, 3)
+                    for percentile in (50, 90, 99, 99.9)
                 },
                 "histogram": kind.all.encode().decode(),
             }
@@ -206,33 +221,36 @@
     even: bool = False,
     tick: Tick = lambda share, done: None,
 ) -> Report:
-    """Play a shape. `tick` hears the share of time that is over and how many have ended."""
+    """Run a load in an open loop.
+
+    `tick` is called with the share of the time that has passed and the number of requests that have ended.
+    """
     report, rng = Report(), random.Random(seed)
     began = time.perf_counter()
-    out: set[asyncio.Task[None]] = set()
+    in_flight: set[asyncio.Task[None]] = set()
 
-    async def one(kind: str, number: int, due: float) -> None:
+    async def send(kind: str, number: int, due: float) -> None:
         ending = await target.send(kind, number, timeout)
-        report.note(kind, ending, time.perf_counter() - began - due)
+        report.record(kind, ending, time.perf_counter() - began - due)
 
     for number, due in enumerate(arrivals(shape, rng, even)):
         kind = mix.draw(rng)
         wait = began + due - time.perf_counter()
         if wait > 0:
             await asyncio.sleep(wait)
-            tick(due / shape.span if shape.span else 1.0, number - len(out))
+            tick(due / shape.span if shape.span else 1.0, number - len(in_flight))
         elif number % 64 == 0:
-            await asyncio.sleep(0)  # what has come is heard though the schedule is behind
+            await asyncio.sleep(0)  # lets answers be read while the schedule is behind
         report.late = max(report.late, time.perf_counter() - began - due)
         report.due += 1
-        if len(out) >= OUT:
+        if len(in_flight) >= MAX_IN_FLIGHT:
             report.unsent += 1
             continue
-        task = asyncio.create_task(one(kind, number, due))
-        out.add(task)
-        task.add_done_callback(out.discard)
-    if out:
-        await asyncio.wait(out, timeout=timeout + 2)
+        task = asyncio.create_task(send(kind, number, due))
+        in_flight.add(task)
+        task.add_done_callback(in_flight.discard)
+    if in_flight:
+        await asyncio.wait(in_flight, timeout=timeout + 2)
     report.seconds = time.perf_counter() - began
     tick(1.0, report.due)
     return report
@@ -245,26 +263,26 @@
     mix: Mix,
     seed: int,
     timeout: float,
-    most: int = 1_000_000,
+    max_requests: int = 1_000_000,
     tick: Tick = lambda share, done: None,
 ) -> Report:
-    """So many clients, one request after another each, for some time or `most` requests."""
+    """Run a load in a closed loop for `seconds` or `max_requests` requests in total."""
     report, numbers = Report(), itertools.count()
     began = time.perf_counter()
 
-    async def client(which: int) -> None:
-        rng = random.Random(f"{seed}/{which}")
+    async def client(index: int) -> None:
+        rng = random.Random(f"{seed}/{index}")
         while time.perf_counter() - began < seconds:
             number = next(numbers)
-            if number >= most:
+            if number >= max_requests:
                 return
             report.due += 1
             kind, at = mix.draw(rng), time.perf_counter()
             ending = await target.send(kind, number, timeout)
-            report.note(kind, ending, time.perf_counter() - at)
+            report.record(kind, ending, time.perf_counter() - at)
             tick(min(1.0, (time.perf_counter() - began) / seconds), number)
 
-    await asyncio.gather(*(client(which) for which in range(clients)))
+    await asyncio.gather(*(client(index) for index in range(clients)))
     report.seconds = time.perf_counter() - began
     tick(1.0, report.due)
     return report
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -1,4 +1,4 @@
-"""Shapes of load, and loads on small servers that behave as told."""
+"""Load shapes, and loads on small servers with a prescribed behaviour."""
 
 import asyncio
 import contextlib
@@ -27,8 +27,8 @@
     parse_loopback,
 )
 
-ONE = Mix((("a", 1.0),))
-PATIENCE = 60.0  # real seconds for an answer; only a broken program needs them
+SINGLE_KIND = Mix((("a", 1.0),))
+TIMEOUT_S = 60.0  # for an answer; only a broken program reaches it
 
 
 @pytest.mark.parametrize("text", ["100/10s", "0-200/10s", "100~80@2s/10s", "burst:300,50/4s"])
@@ -71,13 +71,13 @@
         "1/1s;1/1s",
     ],
 )
-def test_a_shape_that_is_none_is_told(text):
+def test_an_invalid_shape_is_rejected(text):
     with pytest.raises(BadShape):
         read_shape(text)
 
 
 @given(st.text("0123456789./-~@s,:burst ", max_size=20))
-def test_no_text_breaks_the_reader(text):
+def test_no_text_breaks_the_parser(text):
     with contextlib.suppress(BadShape):
         assert read_shape(text).span >= 0
 
@@ -100,13 +100,17 @@
 
 
 class Server:
-    """Answers jobs: by the class's name a status, a close, silence; `pause` holds everything up once."""
+    """Answers each job as its class is named: with that status, or by closing the connection (`cut`).
+
+    From the request number `after` on, it answers nothing for `pause` seconds. It closes the connection after
+    every `close_every` requests.
+    """
 
     def __init__(self, pause=0.0, after=0, close_every=0):
         self.pause, self.after, self.close_every = pause, after, close_every
         self.seen = 0
         self.connections = 0
-        self.open = None
+        self.resume_at = None
 
     async def serve(self, reader, writer):
         self.connections += 1
@@ -116,9 +120,9 @@
                 await reader.readexactly(size)
                 self.seen += 1
                 if self.seen == self.after:
-                    self.open = asyncio.get_running_loop().time() + self.pause
-                if self.open is not None:
-                    await asyncio.sleep(max(0.0, self.open - asyncio.get_running_loop().time()))
+                    self.resume_at = asyncio.get_running_loop().time() + self.pause
+                if self.resume_at is not None:
+                    await asyncio.sleep(max(0.0, self.resume_at - asyncio.get_running_loop().time()))
                 kind = head.split(b" ")[1][1:].decode()
                 if kind == "cut":
                     return
@@ -132,7 +136,7 @@
             writer.close()
 
 
-def against(server, play):
+def run_against(server, play):
     async def run():
         listener = await asyncio.start_server(server.serve, "127.0.0.1", 0)
         target = JobTarget("{}:{}".format(*listener.sockets[0].getsockname()))
@@ -147,7 +151,9 @@
 
 def test_each_answer_is_counted_as_what_it_is():
     mix = read_mix("200,429,503,502,404,cut")
-    report = against(Server(), lambda target: closed_loop(target, 4, 60, mix, 1, PATIENCE, most=300))
+    report = run_against(
+        Server(), lambda target: closed_loop(target, 4, 60, mix, 1, TIMEOUT_S, max_requests=300)
+    )
     endings = {kind: row.endings for kind, row in report.kinds.items()}
     assert {kind: next(iter(each)) for kind, each in endings.items()} == {
         "200": SERVED,
@@ -163,46 +169,50 @@
 
 def test_connections_are_kept_and_one_that_was_closed_unread_costs_nothing():
     server = Server(close_every=10)
-    report = against(server, lambda target: closed_loop(target, 1, 60, ONE, 1, PATIENCE, most=100))
+    report = run_against(
+        server, lambda target: closed_loop(target, 1, 60, SINGLE_KIND, 1, TIMEOUT_S, max_requests=100)
+    )
     assert report.kinds["a"].endings == {SERVED: 100} and 10 <= server.connections <= 12
 
 
 def test_an_open_loop_shows_a_stall_in_every_request_that_it_held_up():
-    """A closed loop of one client would see the stall once: "coordinated omission"."""
+    """A closed loop with one client would show the stall in one request only ("coordinated omission")."""
     shape, server = read_shape("100/1s"), Server(pause=0.5, after=20)
-    report = against(server, lambda target: open_loop(target, shape, ONE, 1, PATIENCE, even=True))
-    held = sum(
+    report = run_against(
+        server, lambda target: open_loop(target, shape, SINGLE_KIND, 1, TIMEOUT_S, even=True)
+    )
+    delayed = sum(
         1
         for each in report.kinds["a"].all.get_recorded_iterator()
         for _ in range(each.count_at_value_iterated_to if each.value_iterated_to > 100_000 else 0)
     )
-    assert held >= 30 and report.kinds["a"].endings[SERVED] == report.due and not report.unsent
+    assert delayed >= 30 and report.kinds["a"].endings[SERVED] == report.due and not report.unsent
 
 
 def test_calls_are_loaded_too_and_the_report_can_be_read_by_a_program():
-    box = GrpcInstance("box", EventLog())
+    instance = GrpcInstance("box", EventLog())
     try:
 
         async def play():
-            target = GrpcTarget(box.address, metadata=(("x-status", "5"),))
-            good = GrpcTarget(box.address)
+            failing = GrpcTarget(instance.address, metadata=(("x-status", "5"),))
+            good = GrpcTarget(instance.address)
             try:
                 return (
                     await open_loop(good, read_shape("burst:40"), read_mix("test.S,test.S/Unary"), 1, 30.0),
-                    await closed_loop(target, 2, 60, read_mix("test.S"), 1, 30.0, most=10),
+                    await closed_loop(failing, 2, 60, read_mix("test.S"), 1, 30.0, max_requests=10),
                 )
             finally:
-                await target.close()
+                await failing.close()
                 await good.close()
 
         first, second = asyncio.run(play())
         assert sum(row["served"] for row in first.rows()) == 40 == first.due and len(first.rows()) == 2
         assert second.rows()[0]["failed"] == 10 and second.rows()[0]["histogram"]
     finally:
-        box.stop()
+        instance.stop()
 
 
-def test_the_command_refuses_other_machines_and_shapes_that_are_none():
+def test_the_command_refuses_other_machines_and_invalid_shapes():
     run = CliRunner().invoke
     assert run(app, ["load", "jobs", "10.1.2.3:80", "--mix", "a"]).exit_code == 2
     assert run(app, ["load", "jobs", "127.0.0.1:80", "--mix", "a", "--shape", "fast"]).exit_code == 2
