--- a/pulleyroute/lab/demo.py
+++ b/pulleyroute/lab/demo.py
@@ -130,7 +130,10 @@
 
 
 class Demo:
-    """One run, which owns the stand-ins, the program's process and the load. `rate` is in requests a second."""
+    """One run, which owns the stand-ins, the program's process and the load.
+
+    `rate` is in requests a second.
+    """
 
     def __init__(self, rate: float = 60.0, seconds: float = 6.0, seed: int = 1) -> None:
         self.rate, self.seconds, self.random = rate, seconds, random.Random(seed)
--- a/pulleyroute/lab/load.py
+++ b/pulleyroute/lab/load.py
@@ -1,8 +1,8 @@
 """Load on a dispatcher with jobs or gRPC calls, in an open or a closed loop, and statistics of the results.
 
 Open loop: requests are due by a schedule that does not depend on earlier ones, and the time of each counts
-from when it was due. A slow dispatcher therefore shows in every request that it delays, and not as fewer requests
-("coordinated omission"). Closed loop: a number of clients, each with one request at a time.
+from when it was due. A slow dispatcher therefore shows in every request that it delays, and not as fewer
+requests ("coordinated omission"). Closed loop: a number of clients, each with one request at a time.
 """
 
 from __future__ import annotations
