--- a/benchmarks/admin_listener.py
+++ b/benchmarks/admin_listener.py
@@ -1,8 +1,8 @@
-"""The admin listener under floods: `python -m benchmarks.admin_listener [--write]`. About a minute.
+"""Answer times of the admin listener under floods: `python -m benchmarks.admin_listener [--write]`.
 
-Starts the platform's program on loopback stand-ins with 256 descriptors, and calls its admin listener four
-times a second for `/status` and `/status/metrics` while something floods the rest. What counts is the slowest
-answer of each flood, beside the one at rest in the same run.
+Runs for about a minute. Starts the platform's program on loopback stand-ins with 256 descriptors, and calls
+`/status` and `/status/metrics` of its admin listener four times a second while something floods the program.
+The result is the slowest answer during each flood, beside the slowest one at rest in the same run.
 """
 
 from __future__ import annotations
@@ -21,54 +21,61 @@
 from pulleyroute.lab.upgrade import PROGRAM, call_status, platform_under_load
 from pulleyroute.net.http import parse_address
 
-SECONDS = 6.0  # a flood
-PAUSE = 0.25  # between two looks at it
-DUE = 1.0  # seconds that an answer may take
-CROWD = 40  # callers that stay
-CONNECTIONS = 1500  # on the clients' side, at most
+FLOOD_S = 6.0
+CALL_INTERVAL_S = 0.25
+MAX_ANSWER_S = 1.0
+ADMIN_CONNECTIONS = 40  # kept open at the admin listener
+CLIENT_CONNECTIONS = 1500  # kept open at the clients' listener, at most
 
 
 @dataclass(slots=True)
-class Looks:
-    took: list[float] = field(default_factory=list)  # seconds
+class Answers:
+    """Answer times in seconds, and the number of answers with an unexpected status."""
+
+    took: list[float] = field(default_factory=list)
     wrong: int = 0
 
 
-def look(admin: str, path: str, want: tuple[int, ...], looks: Looks) -> None:
-    """One call on a connection of its own."""
+def call_admin(admin: str, path: str, want: tuple[int, ...], answers: Answers) -> None:
+    """Make one call on a connection of its own, and record its answer."""
     began = time.monotonic()
-    looks.wrong += call_status(admin, "GET", path) not in want
-    looks.took.append(time.monotonic() - began)
+    answers.wrong += call_status(admin, "GET", path) not in want
+    answers.took.append(time.monotonic() - began)
 
 
-def under(
+def measure_under_flood(
     admin: str, flood: Callable[[threading.Event], None], threads: int, want: tuple[int, ...] = (200,)
-) -> Looks:
-    """The admin listener's answers while so many threads flood."""
-    over, looks = threading.Event(), Looks()
-    at_work = [threading.Thread(target=flood, args=(over,), daemon=True) for _ in range(threads)]
-    for thread in at_work:
+) -> Answers:
+    """Call the admin listener while `threads` threads run `flood`."""
+    stop_requested, answers = threading.Event(), Answers()
+    flooders = [threading.Thread(target=flood, args=(stop_requested,), daemon=True) for _ in range(threads)]
+    for thread in flooders:
         thread.start()
     time.sleep(0.5)
-    end = time.monotonic() + SECONDS
+    end = time.monotonic() + FLOOD_S
     while time.monotonic() < end:
-        look(admin, "/status", want, looks)
-        look(admin, "/status/metrics", (200,), looks)
-        time.sleep(PAUSE)
-    over.set()
-    for thread in at_work:
+        call_admin(admin, "/status", want, answers)
+        call_admin(admin, "/status/metrics", (200,), answers)
+        time.sleep(CALL_INTERVAL_S)
+    stop_requested.set()
+    for thread in flooders:
         thread.join(15)
-    return looks
+    return answers
+
 
+def hold_connections(
+    address: str, data: bytes, max_open: int, hold_s: float
+) -> Callable[[threading.Event], None]:
+    """Return a flood that opens connections, sends `data` on each and keeps them open.
 
-def holding(address: str, data: bytes, most: int, stay: float) -> Callable[[threading.Event], None]:
-    """Connects again and again, sends the same, and holds each connection for a while."""
+    It closes the oldest one after `hold_s` seconds, or when `max_open` are open.
+    """
 
-    def flood(over: threading.Event) -> None:
+    def flood(stop_requested: threading.Event) -> None:
         held: list[tuple[float, socket.socket]] = []
-        while not over.is_set():
+        while not stop_requested.is_set():
             now = time.monotonic()
-            while held and (now - held[0][0] > stay or len(held) >= most):
+            while held and (now - held[0][0] > hold_s or len(held) >= max_open):
                 held.pop(0)[1].close()
             with contextlib.suppress(OSError):
                 sock = socket.create_connection(parse_address(address), timeout=1)
@@ -81,14 +88,14 @@
     return flood
 
 
-def asking(address: str) -> Callable[[threading.Event], None]:
-    """Sends what is no job as fast as it is answered."""
-    place = parse_address(address)
+def send_invalid_jobs(address: str) -> Callable[[threading.Event], None]:
+    """Return a flood that sends requests without a job as fast as they are answered."""
+    host_port = parse_address(address)
 
-    def flood(over: threading.Event) -> None:
-        while not over.is_set():
-            with contextlib.suppress(OSError), socket.create_connection(place, timeout=5) as sock:
-                while not over.is_set():
+    def flood(stop_requested: threading.Event) -> None:
+        while not stop_requested.is_set():
+            with contextlib.suppress(OSError), socket.create_connection(host_port, timeout=5) as sock:
+                while not stop_requested.is_set():
                     sock.sendall(b"POST /nothing HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n" * 20)
                     if not sock.recv(65536):
                         break
@@ -97,29 +104,44 @@
 
 
 def main() -> int:
-    rows: list[tuple[str, Looks]] = []
-    with platform_under_load(PROGRAM, 8, 20, slots=8, mean_ms=40) as at:
-        clients = at.platform.address
-        program, admin = at.platform.processes[-1]
+    rows: list[tuple[str, Answers]] = []
+    with platform_under_load(PROGRAM, 8, 20, slots=8, mean_ms=40) as environment:
+        clients = environment.platform.address
+        program, admin = environment.platform.processes[-1]
         half = b"GET /status HTT"
 
-        def reloads(over: threading.Event) -> None:
-            while not over.wait(0.05):
+        def reloads(stop_requested: threading.Event) -> None:
+            while not stop_requested.wait(0.05):
                 program.send_signal(signal.SIGHUP)
 
         floods: list[tuple[str, Callable[[threading.Event], None], int]] = [
-            ("at rest", lambda over: None, 0),
-            (f"{CROWD} callers at the admin listener that send nothing", holding(admin, b"", CROWD, 4), 1),
-            (f"{CROWD} callers at the admin listener with half a call", holding(admin, half, CROWD, 4), 1),
-            (f"{CONNECTIONS} silent connections of clients", holding(clients, b"", CONNECTIONS, 4), 1),
-            ("8 clients that ask for nothing at full speed", asking(clients), 8),
+            ("at rest", lambda stop_requested: None, 0),
+            (
+                f"{ADMIN_CONNECTIONS} callers at the admin listener that send nothing",
+                hold_connections(admin, b"", ADMIN_CONNECTIONS, 4),
+                1,
+            ),
+            (
+                f"{ADMIN_CONNECTIONS} callers at the admin listener with half a call",
+                hold_connections(admin, half, ADMIN_CONNECTIONS, 4),
+                1,
+            ),
+            (
+                f"{CLIENT_CONNECTIONS} silent connections of clients",
+                hold_connections(clients, b"", CLIENT_CONNECTIONS, 4),
+                1,
+            ),
+            ("8 clients that ask for nothing at full speed", send_invalid_jobs(clients), 8),
             ("20 reloads a second", reloads, 1),
         ]
         for name, flood, threads in floods:
-            rows.append((name, under(admin, flood, threads)))
+            rows.append((name, measure_under_flood(admin, flood, threads)))
         call_status(admin, "POST", "/standby")
         rows.append(
-            ("a drain, with silent connections", under(admin, holding(clients, b"", CONNECTIONS, 4), 1))
+            (
+                "a drain, with silent connections",
+                measure_under_flood(admin, hold_connections(clients, b"", CLIENT_CONNECTIONS, 4), 1),
+            )
         )
     rest = max(rows[0][1].took)
     lines = [
@@ -127,9 +149,9 @@
         "| --- | --- | --- | --- | --- |",
     ]
     lines += [
-        f"| {name} | {len(looks.took)} | {max(looks.took) * 1000:.0f} | {max(looks.took) / rest:.1f} "
-        f"| {looks.wrong + sum(took > DUE for took in looks.took)} |"
-        for name, looks in rows
+        f"| {name} | {len(answers.took)} | {max(answers.took) * 1000:.0f} | {max(answers.took) / rest:.1f} "
+        f"| {answers.wrong + sum(took > MAX_ANSWER_S for took in answers.took)} |"
+        for name, answers in rows
     ]
     print("\n".join(lines))
     if "--write" in sys.argv:
@@ -149,7 +171,7 @@
                 ]
             )
         )
-    return 0 if not any(looks.wrong or max(looks.took) > DUE for _, looks in rows) else 1
+    return 0 if not any(answers.wrong or max(answers.took) > MAX_ANSWER_S for _, answers in rows) else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/aio_proxy.py
+++ b/benchmarks/aio_proxy.py
@@ -1,6 +1,7 @@
-"""A plain generic proxy on grpc.aio, as its users would write it: the peer that `grpc_cost` measures against.
+"""A plain generic proxy on grpc.aio, as users of grpc.aio would write it; the baseline of `grpc_cost`.
 
-`python -m benchmarks.aio_proxy LISTEN TARGET`. Methods ending in Unary pass as unary, all others as streams.
+Start it with `python -m benchmarks.aio_proxy LISTEN TARGET`. Methods whose names end in Unary are proxied as
+unary calls, all others as bidirectional streams.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Proxy(grpc.GenericRpcHandler):  # type: ignore[misc]
-    """Passes every call to one channel: messages as bytes, metadata, time-out, status."""
+    """Forwards every call to one channel, with its messages as bytes, metadata, time-out and status."""
 
     def __init__(self, channel: Any) -> None:
         self._channel = channel
@@ -27,26 +28,30 @@
             call = self._channel.unary_unary(path)
 
             async def unary(request: bytes, context: Any) -> Any:
-                out = call(request, timeout=context.time_remaining(), metadata=context.invocation_metadata())
+                upstream = call(
+                    request, timeout=context.time_remaining(), metadata=context.invocation_metadata()
+                )
                 try:
-                    answer = await out
+                    answer = await upstream
                 except grpc.aio.AioRpcError as exc:
                     await context.abort(exc.code(), exc.details(), exc.trailing_metadata() or ())
-                await context.send_initial_metadata(await out.initial_metadata())
-                context.set_trailing_metadata(await out.trailing_metadata())
+                await context.send_initial_metadata(await upstream.initial_metadata())
+                context.set_trailing_metadata(await upstream.trailing_metadata())
                 return answer
 
             return grpc.unary_unary_rpc_method_handler(unary)
         stream = self._channel.stream_stream(path)
 
         async def streams(requests: Any, context: Any) -> Any:
-            out = stream(requests, timeout=context.time_remaining(), metadata=context.invocation_metadata())
+            upstream = stream(
+                requests, timeout=context.time_remaining(), metadata=context.invocation_metadata()
+            )
             try:
-                async for answer in out:
+                async for answer in upstream:
                     yield answer
             except grpc.aio.AioRpcError as exc:
                 await context.abort(exc.code(), exc.details(), exc.trailing_metadata() or ())
-            context.set_trailing_metadata(await out.trailing_metadata())
+            context.set_trailing_metadata(await upstream.trailing_metadata())
 
         return grpc.stream_stream_rpc_method_handler(streams)
 
--- a/benchmarks/box.py
+++ b/benchmarks/box.py
@@ -1,4 +1,4 @@
-"""A grpcio box in a process of its own: `python -m benchmarks.box`; prints its address."""
+"""A grpcio instance in a process of its own: `python -m benchmarks.box`. Prints its address."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class NullEventLog(EventLog):
-    """A box that is measured against keeps no record."""
+    """An event log that records nothing, so that measurements do not include the cost of recording."""
 
     def record_attempt(self, request: str, kind: str, instance: str) -> None: ...
 
--- a/benchmarks/fixture.py
+++ b/benchmarks/fixture.py
@@ -1,5 +1,4 @@
-"""What the gRPC benchmarks and the matrix share: the program in a process of its own in front of given
-boxes."""
+"""Helpers of the gRPC benchmarks: the program in a process of its own in front of instances."""
 
 from __future__ import annotations
 
@@ -64,7 +63,7 @@
 
 @dataclass(slots=True)
 class Files:
-    """A CA, and a certificate of it for 127.0.0.1; PEM files."""
+    """PEM files of a CA, and of a certificate and key for 127.0.0.1 that it signed."""
 
     ca: Path
     certificate: Path
@@ -72,14 +71,18 @@
 
 
 def certificates(folder: Path, days: int = 2) -> Files:
-    """Make a CA and a certificate, for tests and benchmarks alone."""
+    """Create a CA and a certificate, for tests and benchmarks only."""
     now = datetime.datetime.now(datetime.UTC)
 
     def name(text: str) -> x509.Name:
         return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
 
-    def built(
-        subject: str, issuer: str, key: ec.EllipticCurvePrivateKey, by: ec.EllipticCurvePrivateKey, ca: bool
+    def build_certificate(
+        subject: str,
+        issuer: str,
+        key: ec.EllipticCurvePrivateKey,
+        signing_key: ec.EllipticCurvePrivateKey,
+        ca: bool,
     ) -> x509.Certificate:
         address = x509.IPAddress(ipaddress.ip_address("127.0.0.1"))
         return (
@@ -92,16 +95,16 @@
             .not_valid_after(now + datetime.timedelta(days=days))
             .add_extension(x509.BasicConstraints(ca=ca, path_length=None), critical=True)
             .add_extension(x509.SubjectAlternativeName([address, x509.DNSName("localhost")]), critical=False)
-            .sign(by, hashes.SHA256())
+            .sign(signing_key, hashes.SHA256())
         )
 
     root, leaf = ec.generate_private_key(ec.SECP256R1()), ec.generate_private_key(ec.SECP256R1())
     files = Files(folder / "ca.pem", folder / "certificate.pem", folder / "key.pem")
     files.ca.write_bytes(
-        built("test CA", "test CA", root, root, True).public_bytes(serialization.Encoding.PEM)
+        build_certificate("test CA", "test CA", root, root, True).public_bytes(serialization.Encoding.PEM)
     )
     files.certificate.write_bytes(
-        built("localhost", "test CA", leaf, root, False).public_bytes(serialization.Encoding.PEM)
+        build_certificate("localhost", "test CA", leaf, root, False).public_bytes(serialization.Encoding.PEM)
     )
     files.key.write_bytes(
         leaf.private_bytes(
@@ -111,18 +114,21 @@
     return files
 
 
-def text_of(
-    address: str, boxes: dict[str, str], tls: Files | None = None, slots: int = 1000, attempts: int = 4
+def config_text(
+    address: str, instances: dict[str, str], tls: Files | None = None, slots: int = 1000, attempts: int = 4
 ) -> str:
-    """A configuration in front of the boxes, named with their addresses."""
-    instances = "".join(f'  instance "{name}" {{\n    address = "{at}"\n  }}\n' for name, at in boxes.items())
+    """Return a configuration with these instances, given as names with addresses."""
+    instance_blocks = "".join(
+        f'  instance "{name}" {{\n    address = "{instance_address}"\n  }}\n'
+        for name, instance_address in instances.items()
+    )
     listener_tls = pool_tls = ""
     if tls is not None:
         listener_tls = f'  tls {{\n    certificate = "{tls.certificate}"\n    key = "{tls.key}"\n  }}\n'
         pool_tls = f'  tls {{\n    ca = "{tls.ca}"\n  }}\n'
     return CONFIG.format(
         address=address,
-        instances=instances,
+        instances=instance_blocks,
         tls=listener_tls,
         pool_tls=pool_tls,
         slots=slots,
@@ -133,28 +139,30 @@
 
 @dataclass(slots=True)
 class Program:
-    """The program as users start it."""
+    """A running process of the program."""
 
     address: str
     process: subprocess.Popen[bytes]
     config: Path
 
     def cpu(self) -> float:
-        """Seconds of CPU that the process has used, from /proc."""
+        """Return the seconds of CPU time that the process has used, from /proc."""
         return cpu_of(self.process.pid)
 
     def resident(self) -> int:
-        """Resident memory, in bytes."""
+        """Return the resident memory in bytes."""
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS:"):
                 return int(line.split()[1]) * 1024
         raise RuntimeError("no VmRSS")
 
     def hang_up(self) -> None:
+        """Send SIGHUP, which reloads the configuration."""
         self.process.send_signal(signal.SIGHUP)
 
 
 def cpu_of(pid: int) -> float:
+    """Return the seconds of CPU time that a process has used, from /proc."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -162,16 +170,16 @@
 @contextmanager
 def program(
     folder: Path,
-    boxes: dict[str, str],
+    instances: dict[str, str],
     tls: Files | None = None,
     core: int | None = None,
     slots: int = 1000,
     attempts: int = 4,
 ) -> Iterator[Program]:
-    """Started and listening; ended at the end."""
+    """Start the program, wait until it listens, and kill it at the end; `core` pins it to one core."""
     address = f"127.0.0.1:{free_port()}"
     path = folder / f"bench-{address[-5:]}.hcl"
-    path.write_text(text_of(address, boxes, tls, slots, attempts))
+    path.write_text(config_text(address, instances, tls, slots, attempts))
     command = [
         sys.executable,
         "-m",
@@ -194,6 +202,7 @@
 
 
 def await_port(process: subprocess.Popen[bytes], address: str) -> None:
+    """Wait until a process listens at an address. Raises RuntimeError after 30 s or when it has ended."""
     import socket
 
     host, port = address.rsplit(":", 1)
@@ -208,6 +217,7 @@
 def channel(
     address: str, tls: Files | None = None, options: list[tuple[str, object]] | None = None
 ) -> grpc.Channel:
+    """Open a channel without message limits and retries."""
     options = [
         ("grpc.max_receive_message_length", -1),
         ("grpc.max_send_message_length", -1),
@@ -221,7 +231,7 @@
 
 
 def machine() -> str:
-    """What a table was measured on, in a few words without names."""
+    """Describe the machine: cores, processor, versions of Python and grpcio, but no host name."""
     model = next(
         (
             line.split(":", 1)[1].strip()
--- a/benchmarks/fleet_drains.py
+++ b/benchmarks/fleet_drains.py
@@ -1,8 +1,8 @@
-"""The same release of a whole fleet with agreement and without, in turn: most out at once, and service.
+"""The same release of a whole fleet with agreement and without: most members out at once, and service.
 
     python -m benchmarks.fleet_drains [--seeds N]
 
-Every member is to be started again at the same moment. Without agreement each does so within 5 s of its own.
+Every member is asked to restart at the same moment. Without agreement each restarts within 5 s on its own.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def release(seed: int) -> Schedule:
-    """All are wanted started again after a second."""
+    """Return a schedule in which all members are asked to restart after one second."""
     return Schedule(seed, SHAPE, [Deed(SECOND, "wish", who, 0, "restart") for who in range(SHAPE.members)])
 
 
@@ -26,12 +26,12 @@
 
 
 def row(name: str, outcomes: list[Outcome]) -> str:
-    """One line of the table."""
-    ends: Counter[str] = Counter()
+    """Return one line of the table."""
+    endings: Counter[str] = Counter()
     for outcome in outcomes:
-        ends.update(outcome.endings)
-    count = sum(ends.values())
-    shares = " | ".join(f"{ends[each] / count:.4f}" for each in ENDINGS)
+        endings.update(outcome.endings)
+    count = sum(endings.values())
+    shares = " | ".join(f"{endings[each] / count:.4f}" for each in ENDINGS)
     most = [outcome.most_out for outcome in outcomes]
     return f"| {name} | {max(most)} | {sum(most) / len(most):.1f} | {count} | {shares} |"
 
@@ -40,14 +40,14 @@
     parser = argparse.ArgumentParser(description="A release agreed on, and each for itself.")
     parser.add_argument("--seeds", type=int, default=10)
     seeds = range(1, parser.parse_args().seeds + 1)
-    told: dict[str, list[Outcome]] = {"agreed": [], "each alone": []}
+    outcomes_by_mode: dict[str, list[Outcome]] = {"agreed": [], "each alone": []}
     for seed in seeds:
-        for name, outcomes in told.items():
+        for name, outcomes in outcomes_by_mode.items():
             outcomes.append(play(release(seed), agreement=name == "agreed"))
     print(f"members {SHAPE.members}, limit {SHAPE.out}, {len(seeds)} releases each")
     print("| restarts | most out at once | on the mean | requests | " + " | ".join(ENDINGS) + " |")
     print("|" + " --- |" * (4 + len(ENDINGS)))
-    for name, outcomes in told.items():
+    for name, outcomes in outcomes_by_mode.items():
         print(row(name, outcomes))
 
 
--- a/benchmarks/fleet_log.py
+++ b/benchmarks/fleet_log.py
@@ -2,10 +2,10 @@
 
     python -m benchmarks.fleet_log DIRECTORY [--seconds]
 
-The directory holds one log a dispatcher, `NAME.log`, whose lines begin with the time in seconds. Prints, for
-the whole fleet: calls by kind with the peak second, which pushes cross halls, what pushes find by the age of
-the reading they rest on, the spread over instances and dispatchers, and cold instances' fullest windows;
-with `--seconds`, one line a second.
+The directory holds one log for each dispatcher, `NAME.log`, whose lines begin with the time in seconds.
+Prints for the whole fleet: calls by kind with the peak second, the pushes that cross halls, what pushes find
+by the age of the load report that they are based on, the spread over instances and dispatchers, and the
+fullest windows of cold instances; with `--seconds` also one line for each second.
 """
 
 from __future__ import annotations
@@ -24,14 +24,23 @@
 EVENTS = ("push", "started", "ended", "probe", "connect", "list", "answer")
 _LINE = re.compile(r"([0-9.]+) \S+ DEBUG (\w+) (\w+=.*)")
 _VALUE = re.compile(r"(\w+)=(\S+)")
-PROMPT = 20_000  # us: a push that starts within this found a free slot (home; a crossing takes longer)
-AGES = ((0, "none"), (500_000, "< 0.5 s"), (1_000_000, "< 1 s"), (2_000_000, "< 2 s"), (2**62, "older"))
-COLD = 8_100_000  # us since its start, for which an instance is counted as cold at most
-WINDOW = 3.0  # seconds
+# Microseconds. A push within a hall that starts in this time found a free slot; across halls it takes longer.
+PROMPT_START_US = 20_000
+REPORT_AGES_US = (
+    (0, "none"),
+    (500_000, "< 0.5 s"),
+    (1_000_000, "< 1 s"),
+    (2_000_000, "< 2 s"),
+    (2**62, "older"),
+)
+COLD_US = 8_100_000  # since its start, for which an instance counts as cold
+WINDOW_S = 3.0
 
 
 @dataclass(slots=True)
 class Event:
+    """One logged event of a dispatcher, with the fields of its line."""
+
     at: float  # seconds
     dispatcher: str
     name: str
@@ -39,30 +48,31 @@
 
     @property
     def cold(self) -> bool:
-        """Whether a push goes to an instance that has started lately."""
-        return 0 <= int(self.values["up"]) < COLD
+        """Whether a push goes to an instance that has started recently."""
+        return 0 <= int(self.values["up"]) < COLD_US
 
 
 @dataclass(slots=True)
 class Fleet:
-    """The events of all dispatchers, in order."""
+    """The events of all dispatchers, in the order of their times."""
 
     events: list[Event]
 
-    def of(self, name: str) -> list[Event]:
+    def named(self, name: str) -> list[Event]:
+        """Return the events with a name."""
         return [event for event in self.events if event.name == name]
 
 
 def read(dispatcher: str, lines: Iterable[str]) -> Iterator[Event]:
-    """The events in one dispatcher's log; other lines are passed over."""
+    """Yield the events in one dispatcher's log; other lines are skipped."""
     for line in lines:
-        found = _LINE.match(line)
-        if found and found[2] in EVENTS:
-            yield Event(float(found[1]), dispatcher, found[2], dict(_VALUE.findall(found[3])))
+        match = _LINE.match(line)
+        if match and match[2] in EVENTS:
+            yield Event(float(match[1]), dispatcher, match[2], dict(_VALUE.findall(match[3])))
 
 
 def load(directory: Path) -> Fleet:
-    """Raises SystemExit with one line where there is no log with events."""
+    """Read all logs of a directory. Raises SystemExit with a message if none has events."""
     events: list[Event] = []
     for path in sorted(directory.glob("*.log")):
         with path.open(errors="replace") as lines:
@@ -73,7 +83,7 @@
 
 
 def calls(fleet: Fleet) -> dict[str, tuple[int, int, int]]:
-    """By kind: how many in all, in the fullest second, and by the dispatcher with the most."""
+    """Return by kind: the total, the count in the peak second, and that of the dispatcher with the most."""
     kinds: dict[str, list[Event]] = defaultdict(list)
     for event in fleet.events:
         if event.name == "push":
@@ -95,40 +105,45 @@
 
 
 def tally(items: Iterable[tuple[K, bool]]) -> dict[K, tuple[int, int]]:
-    """By key: how many items, and how many of them hold."""
+    """Return by key: the number of items, and of those that are true."""
     counts: dict[K, tuple[int, int]] = {}
-    for key, holds in items:
-        count, holding = counts.get(key, (0, 0))
-        counts[key] = count + 1, holding + holds
+    for key, is_true in items:
+        count, true_count = counts.get(key, (0, 0))
+        counts[key] = count + 1, true_count + is_true
     return counts
 
 
 def crossings(fleet: Fleet) -> dict[tuple[str, str], tuple[int, int]]:
-    """By class, and whether it is the first push: how many there are, and how many cross halls."""
-    pushes = [event.values for event in fleet.of("push")]
+    """Return by class and first or repeated push: the number of pushes, and of those that cross halls."""
+    pushes = [event.values for event in fleet.named("push")]
     return tally(
         ((push["cls"], "first" if push["index"] == "0" else "again"), push["zone"] != push["to"])
         for push in pushes
     )
 
 
-def found(fleet: Fleet) -> dict[tuple[str, str], tuple[int, int]]:
-    """By age of the reading and whether it showed room: home pushes, and those that started at once."""
-    started = {(e.values["txn"], e.values["index"]): int(e.values["took"]) for e in fleet.of("started")}
-    found = []
-    for push in (event.values for event in fleet.of("push")):
+def found_by_report(fleet: Fleet) -> dict[tuple[str, str], tuple[int, int]]:
+    """Count pushes within a hall by the age of their load report and by whether it showed free slots.
+
+    The second number counts those that started at once.
+    """
+    started = {(e.values["txn"], e.values["index"]): int(e.values["took"]) for e in fleet.named("started")}
+    pushes = []
+    for push in (event.values for event in fleet.named("push")):
         if push["zone"] == push["to"]:
-            age = next(name for limit, name in AGES if int(push["age"]) < limit)
+            age = next(name for limit, name in REPORT_AGES_US if int(push["age"]) < limit)
             room = "no reading" if push["free"] == "-" else "room" if float(push["free"]) > 0.5 else "full"
-            found.append(((room, age), started.get((push["txn"], push["index"]), PROMPT) < PROMPT))
-    return tally(found)
+            pushes.append(
+                ((room, age), started.get((push["txn"], push["index"]), PROMPT_START_US) < PROMPT_START_US)
+            )
+    return tally(pushes)
 
 
 def spread(fleet: Fleet) -> dict[str, tuple[int, float, int]]:
-    """By instance: pushes, these against the mean of its hall, and how many dispatchers they are from."""
+    """Return by instance: pushes, their ratio to the mean of the hall, and the number of dispatchers."""
     pushes: dict[str, list[Event]] = defaultdict(list)
     halls: dict[str, set[str]] = defaultdict(set)
-    for event in fleet.of("push"):
+    for event in fleet.named("push"):
         pushes[event.values["instance"]].append(event)
         halls[event.values["to"]].add(event.values["instance"])
     table = {}
@@ -144,19 +159,19 @@
 
 
 def cold_windows(fleet: Fleet) -> dict[str, int]:
-    """By cold instance: the most pushes in any window of 3 s."""
+    """Return by cold instance: the most pushes in any window of 3 s."""
     times: dict[str, list[float]] = defaultdict(list)
-    for event in fleet.of("push"):
+    for event in fleet.named("push"):
         if event.cold:
             times[event.values["instance"]].append(event.at)
     return {
-        name: max(sum(1 for other in at if first <= other < first + WINDOW) for first in at)
+        name: max(sum(1 for other in at if first <= other < first + WINDOW_S) for first in at)
         for name, at in times.items()
     }
 
 
 def seconds(fleet: Fleet) -> list[str]:
-    """One line a second: the events of each kind."""
+    """Return one line for each second with the number of events of each kind."""
     counts = Counter((int(event.at), event.name) for event in fleet.events)
     last = int(fleet.events[-1].at)
     lines = ["second " + " ".join(f"{name:>8}" for name in EVENTS)]
@@ -165,7 +180,7 @@
 
 
 def report(fleet: Fleet) -> list[str]:
-    """The tables as lines of Markdown."""
+    """Return the tables as lines of Markdown."""
     lines = ["| calls | in all | peak second | most of one dispatcher |", "| --- | --- | --- | --- |"]
     lines += [
         f"| {kind} | {count} | {peak} | {most} |"
@@ -179,7 +194,7 @@
     lines += ["", "| home pushes by reading | in all | started at once |", "| --- | --- | --- |"]
     lines += [
         f"| {room}, {age} | {count} | {prompt / count:.2f} |"
-        for (room, age), (count, prompt) in sorted(found(fleet).items())
+        for (room, age), (count, prompt) in sorted(found_by_report(fleet).items())
     ]
     table, cold = spread(fleet).values(), sorted(cold_windows(fleet).values())
     lines += [
@@ -189,7 +204,7 @@
     ]
     if cold:
         lines.append(
-            f"cold instances {len(cold)}, pushes in their fullest {WINDOW:.0f} s: "
+            f"cold instances {len(cold)}, pushes in their fullest {WINDOW_S:.0f} s: "
             f"median {cold[len(cold) // 2]}, most {cold[-1]}"
         )
     return lines
--- a/benchmarks/fleet_rest.py
+++ b/benchmarks/fleet_rest.py
@@ -1,9 +1,9 @@
-"""What agreement costs at rest: calls to the store for each member, for fleets of several sizes.
+"""The cost of agreement at rest: calls to the store for each member, for fleets of several sizes.
 
     python -m benchmarks.fleet_rest [SIZES ...]
 
-The agents and the store's stand-in run over loopback sockets in one process, on a clock that jumps from one
-thing due to the next; calls are counted over a minute of that clock, after all have joined.
+The agents and the store's stand-in run over loopback sockets in one process, on a simulated clock that jumps
+from one timer to the next. Calls are counted over a minute of that clock, after all members have joined.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.lifecycle import Phase
 
-MINUTE = 60_000_000
+MINUTE = 60_000_000  # microseconds
 
 
-class Still:
-    """A service that serves and is never asked for anything."""
+class IdleService:
+    """A service that is serving and has no work."""
 
     phase = Phase.SERVING
 
@@ -45,11 +45,14 @@
 
 
 def measure(size: int) -> tuple[float, float]:
-    """Calls a second for each member at rest, and processor time in microseconds a member and second."""
+    """Return the store calls of each member per second at rest.
+
+    The second value is the processor time in microseconds per member and second.
+    """
     loop = VirtualLoop()
     server = Server(loop)
     agents = [
-        Agent(loop, BufferPool(), [server.address], Place("g", f"m{i}", f"z{i % 3}"), Still(), i)
+        Agent(loop, BufferPool(), [server.address], Place("g", f"m{i}", f"z{i % 3}"), IdleService(), i)
         for i in range(size)
     ]
     for agent in agents:
@@ -59,7 +62,7 @@
         return len(agents[0].known.words) == size
 
     if not loop.run_until(joined, 10 * MINUTE):
-        raise SystemExit(f"{size} members did not come together")
+        raise SystemExit(f"{size} members did not all join within 10 simulated minutes")
     loop.run_until(lambda: False, MINUTE // 6)
     before, began = sum(agent.client.calls for agent in agents), time.process_time()
     loop.run_until(lambda: False, MINUTE)
--- a/benchmarks/grpc_cost.py
+++ b/benchmarks/grpc_cost.py
@@ -1,9 +1,10 @@
-"""CPU a call and a streamed message, beside a plain grpc.aio proxy: `python -m benchmarks.grpc_cost
-[--write]`.
+"""CPU time of a call and of a streamed message, beside a plain grpc.aio proxy.
 
-One run: the program and the proxy on one core each, in front of the same box, loaded in turn by the same
-client, in interleaved rounds. CPU by /proc. Options: `--rounds N`, `--calls N` (unary a round), `--streams N`
-(a round, of 1,000 messages of 100 bytes).
+    python -m benchmarks.grpc_cost [--rounds N] [--calls N] [--streams N] [--write]
+
+The program and the proxy run on one core each, in front of the same instance, and the same client loads them
+alternately in interleaved rounds. CPU times come from /proc. `--calls` is the number of unary calls in a
+round, `--streams` that of streams, each with 1,000 messages of 100 bytes.
 """
 
 from __future__ import annotations
@@ -29,6 +30,7 @@
 
 @contextmanager
 def child(*arguments: str, core: int | None = None) -> Iterator[subprocess.Popen[bytes]]:
+    """Run a Python module in a child process, on one core if given, and kill it at the end."""
     process = subprocess.Popen([sys.executable, "-m", *arguments], stdout=subprocess.PIPE)
     if core is not None:
         os.sched_setaffinity(process.pid, {core})
@@ -40,50 +42,50 @@
 
 
 def unary(via: grpc.Channel, count: int, threads: int = 16) -> None:
-    """So many unary calls of 100 bytes, closed loop."""
+    """Make `count` unary calls of 100 bytes in a closed loop."""
     call = via.unary_unary("/test.Unsafe/Unary")
 
     def work() -> None:
         for _ in range(count // threads):
             call(b"x" * 100, timeout=30)
 
-    _together(work, threads)
+    _run_in_threads(work, threads)
 
 
 def spread(via: grpc.Channel, count: int, threads: int = 4) -> None:
-    """So many server-streaming calls of 1,000 messages."""
+    """Make `count` server-streaming calls of 1,000 messages."""
     call = via.unary_stream("/test.Unsafe/Spread")
     metadata = (("x-count", str(MESSAGES)), ("x-size", "100"))
 
     def work() -> None:
         for _ in range(count // threads):
-            got = sum(1 for _ in call(b"x", timeout=60, metadata=metadata))
-            assert got == MESSAGES
+            received = sum(1 for _ in call(b"x", timeout=60, metadata=metadata))
+            assert received == MESSAGES
 
-    _together(work, threads)
+    _run_in_threads(work, threads)
 
 
 def echo(via: grpc.Channel, count: int, threads: int = 4) -> None:
-    """So many bidirectional calls of 1,000 messages each way."""
+    """Make `count` bidirectional calls of 1,000 messages each way."""
     call = via.stream_stream("/test.Unsafe/Echo")
 
     def work() -> None:
         for _ in range(count // threads):
             assert sum(1 for _ in call(iter([b"x" * 100] * MESSAGES), timeout=60)) == MESSAGES
 
-    _together(work, threads)
+    _run_in_threads(work, threads)
 
 
-def _together(work: Callable[[], None], count: int) -> None:
+def _run_in_threads(work: Callable[[], None], count: int) -> None:
     failed: list[BaseException] = []
 
-    def guarded() -> None:
+    def capture_errors() -> None:
         try:
             work()
         except BaseException as exc:
             failed.append(exc)
 
-    threads = [threading.Thread(target=guarded) for _ in range(count)]
+    threads = [threading.Thread(target=capture_errors) for _ in range(count)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -101,9 +103,9 @@
         ("message, 1,000 a stream each way", lambda via: echo(via, streams), streams * MESSAGES * 2),
     ]
     costs: dict[tuple[str, str], list[float]] = {}
-    with tempfile.TemporaryDirectory() as folder, child("benchmarks.box") as box:
-        assert box.stdout is not None
-        target = box.stdout.readline().decode().strip()
+    with tempfile.TemporaryDirectory() as folder, child("benchmarks.box") as instance:
+        assert instance.stdout is not None
+        target = instance.stdout.readline().decode().strip()
         listen = f"127.0.0.1:{free_port()}"
         with (
             program(Path(folder), {"box": target}, core=cores[0]) as ours,
@@ -111,8 +113,8 @@
         ):
             await_port(proxy, listen)
             peers = {"pulleyroute": (ours.address, ours.process.pid), "grpc.aio": (listen, proxy.pid)}
-            with channel(ours.address) as one, channel(listen) as two:
-                via = {"pulleyroute": one, "grpc.aio": two}
+            with channel(ours.address) as program_channel, channel(listen) as proxy_channel:
+                via = {"pulleyroute": program_channel, "grpc.aio": proxy_channel}
                 for each in via.values():
                     unary(each, 160)
                 for _ in range(rounds):
--- a/benchmarks/grpc_faults.py
+++ b/benchmarks/grpc_faults.py
@@ -1,6 +1,7 @@
 """Calls under random faults: `python -m benchmarks.grpc_faults [--seed N] [--calls N] [--write]`.
 
-Prints the seed; the same seed and count play the same campaign again. Exit status 1 if a rule was broken.
+Prints the seed; the same seed and number of calls repeat the campaign. The exit status is 1 if a rule was
+broken.
 """
 
 from __future__ import annotations
@@ -17,10 +18,12 @@
 
 
 def option(name: str, default: int) -> int:
+    """Return the number that follows an option on the command line, or `default`."""
     return int(sys.argv[sys.argv.index(name) + 1]) if name in sys.argv else default
 
 
 def table(outcomes: list[Outcome]) -> list[str]:
+    """Return a Markdown table with one row for each campaign."""
     lines = [
         "| seed | calls | attempts | rules broken | OK | other statuses |",
         "| --- | --- | --- | --- | --- | --- |",
@@ -54,7 +57,7 @@
             print("BROKEN", line)
         print("\n".join(table([outcome])))
     if "--write" in sys.argv:
-        endings_played = "\n".join(
+        ending_rows = "\n".join(
             f"| {ending} | {count} |"
             for ending, count in sorted(
                 sum((each.endings_played for each in outcomes[1:]), outcomes[0].endings_played).items()
@@ -78,7 +81,7 @@
                     "",
                     "| ending | attempts |",
                     "| --- | --- |",
-                    endings_played,
+                    ending_rows,
                     "",
                 ]
             )
--- a/benchmarks/grpc_matrix.py
+++ b/benchmarks/grpc_matrix.py
@@ -1,8 +1,8 @@
-"""Every case through the dispatcher beside the same case direct: `python -m benchmarks.grpc_matrix`.
+"""Each case through the dispatcher, compared with the same case direct: `python -m benchmarks.grpc_matrix`.
 
-A case is one call with grpcio's client to a grpcio box: kind of call, status, metadata, sizes, deadline,
-compression, TLS. Equal means: the same code, details, initial and trailing metadata (in order), and messages,
-byte for byte. `--write` keeps the table in docs/measured/.
+A case is one call with grpcio's client to a grpcio instance: kind of call, status, metadata, sizes, deadline,
+compression, TLS. Equal means the same code, details, initial and trailing metadata (in order), and messages,
+byte for byte. `--write` stores the table in docs/measured/.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from pulleyroute.emulator import EventLog, GrpcInstance
 
 KINDS = ("Unary", "Gather", "Spread", "Echo")
-HOP = ("user-agent", "accept-encoding")  # grpcio's own
+HOP_METADATA = ("user-agent", "accept-encoding")  # set by grpcio itself on each hop
 
 
 @dataclass(slots=True, frozen=True)
 class Case:
-    """One call. `messages` are what the client sends; `timeout` in seconds."""
+    """One call. `messages` are those that the client sends; `timeout` is in seconds."""
 
     name: str
     kind: str
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Seen:
-    """What a client can see of a call."""
+    """What a client can observe of a call."""
 
     code: int
     details: str
@@ -48,11 +48,11 @@
 
 
 def cases() -> list[Case]:
-    """All of them, the same in every run."""
-    found: list[Case] = []
+    """Return all cases, the same in every run."""
+    all_cases: list[Case] = []
     for kind in KINDS:
         many = (b"one", b"", b"three" * 10) if kind in ("Gather", "Echo") else (b"hello",)
-        found += [
+        all_cases += [
             Case(f"{kind} ok", kind, messages=many),
             Case(f"{kind} initial metadata", kind, (("x-initial", "1"),), many),
             Case(
@@ -77,7 +77,7 @@
             Case(f"{kind} safe class", kind, messages=many, service="test.Safe"),
         ]
         for code in range(1, 17):
-            found.append(
+            all_cases.append(
                 Case(
                     f"{kind} status {code}",
                     kind,
@@ -86,14 +86,14 @@
                 )
             )
     for code in (2, 5, 13, 14):
-        found.append(
+        all_cases.append(
             Case(
                 f"Spread status {code} after 2 messages",
                 "Spread",
                 (("x-status", str(code)), ("x-fail-after", "2"), ("x-count", "5")),
             )
         )
-        found.append(
+        all_cases.append(
             Case(
                 f"Echo status {code} after 2 messages",
                 "Echo",
@@ -101,14 +101,16 @@
                 (b"1", b"2", b"3", b"4"),
             )
         )
-    found.append(Case("Spread 1,000 messages", "Spread", (("x-count", "1000"), ("x-size", "100"))))
-    found.append(Case("Echo 1,000 messages", "Echo", messages=tuple(b"%d" % i for i in range(1000))))
-    found.append(Case("Gather answered early", "Gather", (("x-early", "1"),), tuple(b"x" for _ in range(5))))
-    return found
+    all_cases.append(Case("Spread 1,000 messages", "Spread", (("x-count", "1000"), ("x-size", "100"))))
+    all_cases.append(Case("Echo 1,000 messages", "Echo", messages=tuple(b"%d" % i for i in range(1000))))
+    all_cases.append(
+        Case("Gather answered early", "Gather", (("x-early", "1"),), tuple(b"x" for _ in range(5)))
+    )
+    return all_cases
 
 
 def play(via: grpc.Channel, case: Case) -> Seen:
-    """One call, to its end."""
+    """Make one call and wait for its end."""
     path = f"/{case.service}/{case.kind}"
     options: dict[str, Any] = {"timeout": case.timeout, "metadata": case.metadata}
     if case.compression:
@@ -133,45 +135,49 @@
     return Seen(
         call.code().value[0],
         call.details() or "",
-        _kept(call.initial_metadata()),
-        _kept(call.trailing_metadata()),
+        _without_hop_metadata(call.initial_metadata()),
+        _without_hop_metadata(call.trailing_metadata()),
         messages,
     )
 
 
-def _kept(metadata: Any) -> list[tuple[str, Any]]:
-    return [(key, value) for key, value in metadata or () if key not in HOP]
+def _without_hop_metadata(metadata: Any) -> list[tuple[str, Any]]:
+    return [(key, value) for key, value in metadata or () if key not in HOP_METADATA]
 
 
 def differences(direct: Seen, through: Seen, case: Case) -> list[str]:
-    """What a client could tell apart; none where the two are equal."""
-    found = []
-    # Where the deadline ends a call the words are its own library's or ours, and how far it came is chance.
-    own = case.name.endswith("deadline over")
+    """Return what a client could distinguish; empty if the two calls are equal."""
+    differing = []
+    # If the deadline ends a call, the details come from grpcio or from the dispatcher, and how far the call got
+    # depends on timing; only the code is compared.
+    deadline_over = case.name.endswith("deadline over")
     for name in ("code", "details", "initial", "trailing", "messages"):
         a, b = getattr(direct, name), getattr(through, name)
-        if a != b and not (own and name != "code"):
-            found.append(f"{name}: direct {str(a)[:80]}, through {str(b)[:80]}")
-    return found
+        if a != b and not (deadline_over and name != "code"):
+            differing.append(f"{name}: direct {str(a)[:80]}, through {str(b)[:80]}")
+    return differing
 
 
 def compare(tls: bool, folder: Path) -> Iterator[tuple[Case, list[str]]]:
-    """Each case with its differences. One box, one program, one channel each way."""
+    """Yield each case with its differences.
+
+    All cases share one instance, one program, and one channel to each of the two.
+    """
     files = certificates(folder) if tls else None
     credentials = None
     if files is not None:
         credentials = grpc.ssl_server_credentials([(files.key.read_bytes(), files.certificate.read_bytes())])
-    box = GrpcInstance("box", EventLog(), credentials=credentials)
+    instance = GrpcInstance("box", EventLog(), credentials=credentials)
     try:
         with (
-            program(folder, {"box": box.address}, files) as started,
-            channel(box.address, files) as direct,
+            program(folder, {"box": instance.address}, files) as started,
+            channel(instance.address, files) as direct,
             channel(started.address, files) as through,
         ):
             for case in cases():
                 yield case, differences(play(direct, case), play(through, case), case)
     finally:
-        box.stop()
+        instance.stop()
 
 
 def main() -> int:
--- a/benchmarks/grpc_memory.py
+++ b/benchmarks/grpc_memory.py
@@ -1,7 +1,7 @@
 """Resident memory of open streams whose clients read nothing: `python -m benchmarks.grpc_memory [--write]`.
 
-A grpc.aio box answers each call with 1 MiB in messages of 4 KiB; the clients take the first message and no
-more. Options: `--streams N` (2,000), `--window BYTES` of the pool.
+A grpc.aio instance answers each call with 1 MiB in messages of 4 KiB; the clients read the first message and
+no more. Options: `--streams N` (2,000), `--window BYTES` of the pool.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 from benchmarks.fixture import Program, machine, program
 from benchmarks.grpc_faults import option
 
-MESSAGE, COUNT = 4096, 256
+MESSAGE_BYTES, MESSAGES = 4096, 256
 OPTIONS = [("grpc.max_concurrent_streams", 10_000), ("grpc.http2.max_ping_strikes", 0)]
 
 
-def box(pipe: Any) -> None:
-    """Serves in a process of its own; sends its address."""
+def run_instance(pipe: Any) -> None:
+    """Serve calls in a process of its own, and send its port through `pipe`."""
 
     class Handler(grpc.GenericRpcHandler):  # type: ignore[misc]
         def service(self, details: Any) -> Any:
             async def spread(request: bytes, context: Any) -> Any:
-                for _ in range(COUNT):
-                    yield b"x" * MESSAGE
+                for _ in range(MESSAGES):
+                    yield b"x" * MESSAGE_BYTES
 
             return grpc.unary_stream_rpc_method_handler(spread)
 
@@ -45,8 +45,8 @@
     asyncio.run(serve())
 
 
-async def settled(started: Program) -> int:
-    """Resident memory once it has ceased to grow, in bytes."""
+async def settled_memory(started: Program) -> int:
+    """Return the resident memory in bytes once it no longer changes, or after 60 s."""
     last, end = 0, time.monotonic() + 60
     while time.monotonic() < end:
         now = started.resident()
@@ -58,32 +58,37 @@
 
 
 async def measure(started: Program, streams: int) -> tuple[int, int, int, int]:
-    """Resident memory: before, with streams that have ended nothing, with silent readers, after their end."""
-    # Without these grpcio's client opens its windows as far as it likes, and takes all of it itself.
+    """Measure resident memory in bytes.
+
+    Returns it before the streams, with open streams that are not read, and after their end; and the number of
+    streams.
+    """
+    # Without these options grpcio's client enlarges its windows and buffers the whole answer itself.
     narrow = [("grpc.http2.bdp_probe", 0), ("grpc.http2.lookahead_bytes", 65_535)]
     async with grpc.aio.insecure_channel(started.address, narrow) as via:
         call = via.unary_stream("/test.Unsafe/Spread")
         async for _ in call(b"x", timeout=60):
             pass
-        before = await settled(started)
+        before = await settled_memory(started)
         calls: list[Any] = []
-        while len(calls) < streams:  # grpc.aio cancels some of 2,000 that begin at once, also without us
+        # grpc.aio cancels some of 2,000 calls that start at once, even without a proxy.
+        while len(calls) < streams:
             batch = [call(b"x", timeout=100) for _ in range(100)]
             firsts = await asyncio.gather(*(each.read() for each in batch))
-            assert all(len(first) == MESSAGE for first in firsts)
+            assert all(len(first) == MESSAGE_BYTES for first in firsts)
             calls += batch
-        held = await settled(started)
+        held = await settled_memory(started)
         for each in calls:
             each.cancel()
         await asyncio.sleep(2)
-        after = await settled(started)
+        after = await settled_memory(started)
     return before, held, after, streams
 
 
 def main() -> int:
     streams = option("--streams", 2000)
     pipe, other = multiprocessing.Pipe()
-    child = multiprocessing.Process(target=box, args=(other,), daemon=True)
+    child = multiprocessing.Process(target=run_instance, args=(other,), daemon=True)
     child.start()
     try:
         port = pipe.recv()
@@ -124,7 +129,7 @@
                 ]
             )
         )
-    # What the first round held must serve the second: a tenth more would be memory that nobody lets go of.
+    # The second round must reuse the memory of the first one; growth by a tenth would be a leak.
     return 0 if each < 80 * 1024 and again < held * 1.1 else 1
 
 
--- a/benchmarks/rest_memory.py
+++ b/benchmarks/rest_memory.py
@@ -1,8 +1,9 @@
-"""Memory at rest of the platform's dispatcher, before and now: `python -m benchmarks.rest_memory REVISION
-[--write]`.
+"""Memory at rest of the platform's dispatcher, of an earlier revision and of the work tree.
 
-Starts `python -m pulleyroute` of a git revision and of the work tree in turn, three times each, with the
-example's configuration, and reads /proc after two seconds.
+    python -m benchmarks.rest_memory REVISION [--write]
+
+Starts `python -m pulleyroute` of the git revision and of the work tree alternately, with the example's
+configuration, and reads /proc after two seconds. Of four starts each, the last three count.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 def resident(folder: Path) -> int:
-    """KiB that the program of a folder holds at rest."""
+    """Return the resident memory in KiB of the program in a folder, at rest."""
     config = json.loads((ROOT / "examples" / "config.json").read_text())
     config["listen"], config["discovery"] = (f"127.0.0.1:{free_port()}" for _ in range(2))
     with tempfile.TemporaryDirectory() as place:
@@ -52,11 +53,12 @@
     with tempfile.TemporaryDirectory() as old:
         with tarfile.open(fileobj=io.BytesIO(archive)) as files:
             files.extractall(old, filter="data")
-        seen: dict[Path, list[int]] = {Path(old): [], ROOT: []}
+        readings_by_folder: dict[Path, list[int]] = {Path(old): [], ROOT: []}
         for _ in range(4):
-            for folder, readings in seen.items():
+            for folder, readings in readings_by_folder.items():
                 readings.append(resident(folder))
-        before, now = (statistics.median(each[1:]) for each in seen.values())  # the first one compiles
+        # The first start is left out, since it compiles the modules.
+        before, now = (statistics.median(each[1:]) for each in readings_by_folder.values())
     lines = [
         "| revision | resident at rest |",
         "| --- | --- |",
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,6 +1,7 @@
-"""Upgrades under load, on loopback stand-ins: `python -m benchmarks.upgrade [--write]`. About 20 seconds.
+"""Upgrades under load, on loopback stand-ins: `python -m benchmarks.upgrade [--write]`.
 
-Memory and descriptors of both processes together, how the jobs ended, and the referee's verdict.
+Runs for about 20 seconds. Reports memory and descriptors of both processes together, how the jobs ended, and
+the broken rules.
 """
 
 from __future__ import annotations
@@ -16,13 +17,11 @@
 
 def main() -> int:
     rows, bad = [], 0
-    for name, early_callback_share in (
+    for name, early_share in (
         ("usual boxes", 0.0),
         ("half the jobs' ends come before their 202", 0.5),
     ):
-        result = run_upgrades(
-            upgrades=UPGRADES, clients=24, early_callback_share=early_callback_share, interval=1.0
-        )
+        result = run_upgrades(upgrades=UPGRADES, clients=24, early_callback_share=early_share, interval=1.0)
         one = [each for each in result.resource_usage if each.processes == 1]
         two = [each for each in result.resource_usage if each.processes == 2]
         served = sum(n for (_, ending), n in result.endings.items() if ending == "served")
@@ -36,8 +35,8 @@
                 other,
                 len(result.broken),
                 len(result.lost_results),
-                *(f"{max(each.memory_mb for each in held):.0f}" for held in (one, two)),
-                *(max(each.descriptors for each in held) for held in (one, two)),
+                *(f"{max(each.memory_mb for each in usage):.0f}" for usage in (one, two)),
+                *(max(each.descriptors for each in usage) for usage in (one, two)),
             )
         )
     names = (
--- a/tests/lab/test_fleet_log.py
+++ b/tests/lab/test_fleet_log.py
@@ -1,4 +1,4 @@
-"""The fleet's counts, on logs written here."""
+"""Counts of a fleet, from logs that are written here."""
 
 from __future__ import annotations
 
@@ -47,8 +47,8 @@
     assert fleet_log.crossings(fleet) == {("read", "first"): (4, 0), ("read", "again"): (1, 1)}
 
 
-def test_what_a_push_found_is_told_by_the_reading_it_rested_on(fleet):
-    assert fleet_log.found(fleet) == {
+def test_what_a_push_found_is_counted_by_the_load_report_that_it_used(fleet):
+    assert fleet_log.found_by_report(fleet) == {
         ("room", "< 0.5 s"): (1, 1),
         ("full", "< 1 s"): (2, 0),
         ("room", "< 1 s"): (1, 0),
