--- a/benchmarks/admin_listener.py
+++ b/benchmarks/admin_listener.py
@@ -72,17 +72,19 @@
     """
 
     def flood(stop_requested: threading.Event) -> None:
-        held: list[tuple[float, socket.socket]] = []
+        open_connections: list[tuple[float, socket.socket]] = []
         while not stop_requested.is_set():
             now = time.monotonic()
-            while held and (now - held[0][0] > hold_s or len(held) >= max_open):
-                held.pop(0)[1].close()
+            while open_connections and (
+                now - open_connections[0][0] > hold_s or len(open_connections) >= max_open
+            ):
+                open_connections.pop(0)[1].close()
             with contextlib.suppress(OSError):
                 sock = socket.create_connection(parse_address(address), timeout=1)
                 sock.sendall(data)
-                held.append((now, sock))
+                open_connections.append((now, sock))
             time.sleep(0.001)
-        for _, sock in held:
+        for _, sock in open_connections:
             sock.close()
 
     return flood
--- a/benchmarks/grpc_matrix.py
+++ b/benchmarks/grpc_matrix.py
@@ -148,7 +148,7 @@
 def differences(direct: Seen, through: Seen, case: Case) -> list[str]:
     """Return what a client could distinguish; empty if the two calls are equal."""
     differing = []
-    # If the deadline ends a call, the details come from grpcio or from the dispatcher, and how far the call got
+    # If the deadline ends a call, the details come from grpcio or from the dispatcher, and its progress
     # depends on timing; only the code is compared.
     deadline_over = case.name.endswith("deadline over")
     for name in ("code", "details", "initial", "trailing", "messages"):
--- a/benchmarks/grpc_memory.py
+++ b/benchmarks/grpc_memory.py
@@ -77,12 +77,12 @@
             firsts = await asyncio.gather(*(each.read() for each in batch))
             assert all(len(first) == MESSAGE_BYTES for first in firsts)
             calls += batch
-        held = await settled_memory(started)
+        with_streams = await settled_memory(started)
         for each in calls:
             each.cancel()
         await asyncio.sleep(2)
         after = await settled_memory(started)
-    return before, held, after, streams
+    return before, with_streams, after, streams
 
 
 def main() -> int:
@@ -96,15 +96,15 @@
             tempfile.TemporaryDirectory() as folder,
             program(Path(folder), {"box": f"127.0.0.1:{port}"}, slots=10_000) as started,
         ):
-            before, held, after, count = asyncio.run(measure(started, streams))
+            before, with_streams, after, count = asyncio.run(measure(started, streams))
             again = asyncio.run(measure(started, streams))[1]
     finally:
         child.kill()
-    each = (held - before) / count
+    each = (with_streams - before) / count
     lines = [
         "| streams | before | silent readers | a stream | bound a stream | after | as many again |",
         "| --- | --- | --- | --- | --- | --- | --- |",
-        f"| {count} | {before / 2**20:.1f} MiB | {held / 2**20:.1f} MiB | {each / 1024:.1f} KiB | "
+        f"| {count} | {before / 2**20:.1f} MiB | {with_streams / 2**20:.1f} MiB | {each / 1024:.1f} KiB | "
         f"64 KiB of window and some KiB of objects | {after / 2**20:.1f} MiB | "
         f"{again / 2**20:.1f} MiB |",
     ]
@@ -130,7 +130,7 @@
             )
         )
     # The second round must reuse the memory of the first one; growth by a tenth would be a leak.
-    return 0 if each < 80 * 1024 and again < held * 1.1 else 1
+    return 0 if each < 80 * 1024 and again < with_streams * 1.1 else 1
 
 
 if __name__ == "__main__":
--- a/pulleyroute/lab/campaign.py
+++ b/pulleyroute/lab/campaign.py
@@ -111,7 +111,7 @@
         self.seed, self.count = seed, calls
         self.rng = random.Random(seed)
         self.loop = VirtualLoop()
-        self.calls: list[ClientCall] = []
+        self.client_calls: list[ClientCall] = []
         self.drained: dict[str, int] = {}  # instance name: when its drain was published
         self._late_attempts: list[str] = []  # attempts sent to instances after their drain
         self._instance_faults = instance_faults
@@ -186,7 +186,7 @@
             call = ClientCall(
                 f"c{i}", self.rng.random() < 0.5, self.rng.choice((300_000, 1_000_000, 4_000_000))
             )
-            self.calls.append(call)
+            self.client_calls.append(call)
             client_index = self.rng.randrange(len(clients))
             size, spacing = self.rng.choice(((5, 1), (5, 3), (2000, 2), (90_000, 4))), self.rng.random()
             cancel = self.rng.randrange(1000, 500_000) if self.rng.random() < 0.06 else 0
@@ -196,8 +196,8 @@
             if self._instance_faults and i % 150 == 149:
                 self.loop.call_at(at, partial(self._inject_fault, i))
         done = self.loop.run_until(
-            lambda: len(self.calls) == self.count
-            and all(each.began and (each.endings or each.cancelled) for each in self.calls)
+            lambda: len(self.client_calls) == self.count
+            and all(each.began and (each.endings or each.cancelled) for each in self.client_calls)
             and not self.upstream.open,
             (at - self.loop.now()) + 60 * SECOND,
         )
@@ -301,7 +301,7 @@
             broken.append(f"the decisions raised {self.host.faults} exceptions")
         if self.front.ledger.held:
             broken.append(f"{self.front.ledger.held} bytes of requests are still buffered")
-        for call in self.calls:
+        for call in self.client_calls:
             attempts = sorted(attempts_by_call[call.id], key=lambda attempt: attempt.at)
             broken += [
                 f"{call.id}: {text}; {self.history(call, attempts)}" for text in check_call(call, attempts)
@@ -309,7 +309,7 @@
         return Outcome(
             self.seed,
             self.count,
-            Counter(a.status for a in self.calls if not a.cancelled),
+            Counter(a.status for a in self.client_calls if not a.cancelled),
             sum(len(attempts) for attempts in attempts_by_call.values()),
             Counter(
                 attempt.response.ending for attempts in attempts_by_call.values() for attempt in attempts
--- a/pulleyroute/lab/upgrade.py
+++ b/pulleyroute/lab/upgrade.py
@@ -234,7 +234,7 @@
     mean_ms: float = 60,
     early_callback_share: float = 0.0,
 ) -> Iterator[LoadedPlatform]:
-    """Run the program under load in front of three runners, and stop everything at the end.
+    """Run the program under load in front of three runners, and stop everything at the end or after an error.
 
     `give_up` is in seconds.
     """
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -136,12 +136,12 @@
             writer.close()
 
 
-def run_against(server, play):
+def run_against(server, load):
     async def run():
         listener = await asyncio.start_server(server.serve, "127.0.0.1", 0)
         target = JobTarget("{}:{}".format(*listener.sockets[0].getsockname()))
         try:
-            return await play(target)
+            return await load(target)
         finally:
             await target.close()
             listener.close()
@@ -193,7 +193,7 @@
     instance = GrpcInstance("box", EventLog())
     try:
 
-        async def play():
+        async def run_loads():
             failing = GrpcTarget(instance.address, metadata=(("x-status", "5"),))
             good = GrpcTarget(instance.address)
             try:
@@ -205,7 +205,7 @@
                 await failing.close()
                 await good.close()
 
-        first, second = asyncio.run(play())
+        first, second = asyncio.run(run_loads())
         assert sum(row["served"] for row in first.rows()) == 40 == first.due and len(first.rows()) == 2
         assert second.rows()[0]["failed"] == 10 and second.rows()[0]["histogram"]
     finally:
--- a/tests/lab/test_referee.py
+++ b/tests/lab/test_referee.py
@@ -91,13 +91,13 @@
 
 
 def test_one_answer_in_time():
-    asked = RequestSent(0, "r", "look")
-    assert rules(asked, RequestAnswered(5 * S + 50 * MS, "r", "failed")) == []
-    assert rules(asked, RequestAnswered(5 * S + 51 * MS, "r", "failed")) == [Rule.ONE_ANSWER]
-    assert rules(asked, RequestAnswered(1, "r", "served"), RequestAnswered(2, "r", "failed")) == [
+    request_sent = RequestSent(0, "r", "look")
+    assert rules(request_sent, RequestAnswered(5 * S + 50 * MS, "r", "failed")) == []
+    assert rules(request_sent, RequestAnswered(5 * S + 51 * MS, "r", "failed")) == [Rule.ONE_ANSWER]
+    assert rules(request_sent, RequestAnswered(1, "r", "served"), RequestAnswered(2, "r", "failed")) == [
         Rule.ONE_ANSWER
     ]
-    assert rules(asked, until=6 * S) == [Rule.ONE_ANSWER] and rules(asked, until=4 * S) == []
+    assert rules(request_sent, until=6 * S) == [Rule.ONE_ANSWER] and rules(request_sent, until=4 * S) == []
 
 
 @pytest.mark.parametrize("phase", ["leaving", "left"])
