--- a/pulleyroute/lab/campaign.py
+++ b/pulleyroute/lab/campaign.py
@@ -31,7 +31,7 @@
 # gRPC status by HTTP/2 error code, from "gRPC over HTTP2", section "Errors". The checker keeps its own copy
 # and does not use the dispatcher's table.
 STATUS_BY_RESET_CODE = {0: 13, 1: 13, 2: 13, 3: 13, 5: 13, 7: 14, 8: 1, 11: 8, 12: 7, 13: 13}
-UNAVAILABLE, DEADLINE = 14, 4
+UNAVAILABLE, DEADLINE = 14, 4  # gRPC status
 
 
 @dataclass(slots=True)
@@ -52,7 +52,11 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """Result of a campaign. `broken` has one line for each broken rule."""
+    """Result of a campaign.
+
+    `statuses` counts calls by gRPC status, and `endings_played` counts attempts by scripted ending. `broken`
+    has one line for each broken rule.
+    """
 
     seed: int
     calls: int
@@ -370,7 +374,7 @@
 
 
 def allowed_statuses(call: ClientCall, attempts: list[ReceivedAttempt]) -> set[int]:
-    """Return the statuses that are allowed for what the instances did."""
+    """Return the gRPC statuses that the status table allows for what the instances did."""
     near_deadline = call.ended_at >= call.began + int(call.timeout * 0.85) - 30_000
     allowed = {DEADLINE} if near_deadline else set()
     if not attempts:
--- a/pulleyroute/lab/load.py
+++ b/pulleyroute/lab/load.py
@@ -32,7 +32,7 @@
 
 
 class NotLoopback(ValueError):
-    """The address of a target is not a loopback address."""
+    """The address of a target is not a valid loopback address."""
 
 
 def parse_loopback(address: str) -> tuple[str, int]:
@@ -163,7 +163,7 @@
 
 @dataclass(slots=True)
 class KindResults:
-    """Results of one kind of request. The histograms hold times in microseconds."""
+    """Results of one kind of request, with histograms in microseconds of the served and of all requests."""
 
     endings: Counter[str] = field(default_factory=Counter)
     served: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 600_000_000, 3))
--- a/pulleyroute/lab/referee.py
+++ b/pulleyroute/lab/referee.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 ENDINGS = {200: "served", 429: "refused", 503: "refused"}  # by HTTP status; any other status is "failed"
-SLACK = 50_000  # microseconds; tolerance on each time limit for delays of sockets
+SLACK_US = 50_000  # tolerance on each time limit, for delays of sockets
 
 
 class Rule(Enum):
@@ -130,7 +130,7 @@
     ramp: int = 0
     multiple: float = 4.0
     window: int = 3_000_000
-    slack: int = SLACK
+    slack: int = SLACK_US
 
 
 @dataclass(slots=True)
--- a/pulleyroute/lab/verdict.py
+++ b/pulleyroute/lab/verdict.py
@@ -17,8 +17,8 @@
     check_events,
 )
 
-# Microseconds. The clients' threads share the machine with all other processes and record their times late.
-SLACK = 500_000
+# The clients' threads share the machine with all other processes and record their times a little late.
+SLACK_US = 500_000
 
 
 def find_violations(event_log: EventLog, kinds: dict[str, ClassRules]) -> list[Violation]:
@@ -47,5 +47,5 @@
     ]
     longest = max(kind.give_up for kind in kinds.values())
     return check_events(
-        events, kinds, RuleLimits(slack=SLACK), until=to_micros(time.monotonic()) + 2 * longest
+        events, kinds, RuleLimits(slack=SLACK_US), until=to_micros(time.monotonic()) + 2 * longest
     )
