--- a/pulleyroute/grpc/__init__.py
+++ b/pulleyroute/grpc/__init__.py
@@ -4,9 +4,9 @@
 Needs the extra `grpc` (h2, protobuf).
 """
 
-from pulleyroute.grpc.back import Calls
+from pulleyroute.grpc.back import GrpcTransport
 from pulleyroute.grpc.front import Front, FrontLimits
 from pulleyroute.grpc.routes import Match, Routes
 from pulleyroute.grpc.status import Status
 
-__all__ = ["Calls", "Front", "FrontLimits", "Match", "Routes", "Status"]
+__all__ = ["Front", "FrontLimits", "GrpcTransport", "Match", "Routes", "Status"]
--- a/pulleyroute/grpc/back.py
+++ b/pulleyroute/grpc/back.py
@@ -42,7 +42,7 @@
     out: int = 0  # attempts there
 
 
-class Calls:
+class GrpcTransport:
     """Owns every connection to a pool's instances and its attempts. A `requests.InstanceTransport`."""
 
     def __init__(
@@ -72,7 +72,7 @@
         self.host: Host | None = None  # set once it is made
 
     @property
-    def open(self) -> int:
+    def open_attempts(self) -> int:
         """Attempts out."""
         return len(self._upstreams)
 
--- a/pulleyroute/grpc/health.py
+++ b/pulleyroute/grpc/health.py
@@ -35,7 +35,7 @@
     def forget(self, call: HealthCall) -> None:
         self._watches.discard(call)
 
-    def change(self, serving: bool) -> None:
+    def set_serving(self, serving: bool) -> None:
         """Tell those who watch."""
         self.serving = serving
         for call in list(self._watches):
--- a/pulleyroute/lab/campaign.py
+++ b/pulleyroute/lab/campaign.py
@@ -17,7 +17,7 @@
 
 from pulleyroute.emulator.faulty import Act, FaultyBox, Taken, draw
 from pulleyroute.emulator.virtual import VirtualLoop
-from pulleyroute.grpc import Calls, Front, FrontLimits, Match, Routes
+from pulleyroute.grpc import Front, FrontLimits, GrpcTransport, Match, Routes
 from pulleyroute.grpc.front import Target
 from pulleyroute.grpc.health import Health
 from pulleyroute.interface import Effect, JobClass, ReportSource, Settings
@@ -131,7 +131,7 @@
         for box in self.boxes:
             box.start()
         self.discovery = DiscoveryClient(self.loop, self._buffers, ("127.0.0.1", 1), self.settings, 0)
-        self.back = Calls(
+        self.back = GrpcTransport(
             self.loop,
             self._buffers,
             self.discovery,
@@ -188,7 +188,7 @@
         done = self.loop.run_until(
             lambda: len(self.asked) == self.count
             and all(each.began and (each.endings or each.cancelled) for each in self.asked)
-            and not self.back.open,
+            and not self.back.open_attempts,
             (at - self.loop.now()) + 60 * SECOND,
         )
         self.loop.run_until(lambda: False, 2 * SECOND)
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -16,7 +16,7 @@
 from pulleyroute.config.build import known_list
 from pulleyroute.config.types import ListenerLimits
 from pulleyroute.fleet.runners import Runner
-from pulleyroute.grpc import Calls, Front, FrontLimits, Match, Routes
+from pulleyroute.grpc import Front, FrontLimits, GrpcTransport, Match, Routes
 from pulleyroute.grpc.front import Target
 from pulleyroute.grpc.health import Health
 from pulleyroute.interface import Settings, WorkerId
@@ -54,7 +54,7 @@
     settings: Settings
     discovery: DiscoveryClient
     host: FleetHost
-    back: Calls | Instances
+    back: GrpcTransport | Instances
     withheld: Withheld
     revision: int = 1
 
@@ -123,7 +123,7 @@
     def standby(self) -> None:
         """Drain, and stay: jobs' clients are sent elsewhere, and health says that nothing is served."""
         if self._lifecycle.standby(self._loop.now()):
-            self.health.change(False)
+            self.health.set_serving(False)
             for each in self.clients.values():
                 each.standby()
             self.moved()
@@ -131,7 +131,7 @@
     def active(self) -> None:
         """Back to work."""
         if self._lifecycle.active():
-            self.health.change(True)
+            self.health.set_serving(True)
             for each in self.clients.values():
                 each.active()
             self.moved()
@@ -260,12 +260,12 @@
             self._epoch,
             self._random.getrandbits(64),
         )
-        back: Calls | Instances
+        back: GrpcTransport | Instances
         if pool.protocol == "grpc":
             limits = Limits(
                 window=pool.window, ping_after=pool.ping_after, ping_timeout=pool.ping_patience, idle=0
             )
-            back = Calls(
+            back = GrpcTransport(
                 self._loop,
                 self._buffers,
                 discovery,
@@ -287,7 +287,7 @@
                 self.metrics,
             )
         host = FleetHost(self._loop, settings, self._random.getrandbits(64), discovery, back)
-        if isinstance(back, Calls):
+        if isinstance(back, GrpcTransport):
             back.host = host
         withheld = Withheld(host.post)
         discovery.on_update = withheld.hear
@@ -308,7 +308,7 @@
             running.discovery.load_known(known_list(pool, running.revision))
         if pool.discovery is not None and pool.discovery != running.pool.discovery:
             running.discovery.set_address(pool.discovery)
-        if isinstance(running.back, Calls):
+        if isinstance(running.back, GrpcTransport):
             running.back.context = context
             running.back.server_name = pool.tls.server_name if pool.tls is not None else ""
         running.pool = pool
@@ -388,7 +388,7 @@
         """Forget replaced parts once they have finished."""
         for running in list(self._retired):
             if not running.host.tracked_requests:
-                if isinstance(running.back, Calls):
+                if isinstance(running.back, GrpcTransport):
                     running.back.close()
                 running.discovery.watch(False)
                 self._retired.remove(running)
@@ -402,7 +402,7 @@
         """Nothing new; what is out finishes, bounded by each listener's drain; then the loop stops."""
         if not self._lifecycle.end(self._loop.now(), 0):
             return
-        self.health.change(False)
+        self.health.set_serving(False)
         self.moved()
         for front in self.fronts.values():
             front.stop()
--- a/tests/grpc/scene.py
+++ b/tests/grpc/scene.py
@@ -10,7 +10,7 @@
 import h2.events
 from hyperframe.frame import GoAwayFrame
 
-from pulleyroute.grpc import Calls, Front, FrontLimits, Match, Routes
+from pulleyroute.grpc import Front, FrontLimits, GrpcTransport, Match, Routes
 from pulleyroute.grpc.front import Target
 from pulleyroute.grpc.health import Health
 from pulleyroute.grpc.messages import framed
@@ -243,7 +243,7 @@
             report_source=ReportSource.ANSWERS,
         )
         self.discovery = DiscoveryClient(self.loop, pool, ("127.0.0.1", 9), self.settings, 0)
-        self.back = Calls(self.loop, pool, self.discovery, self.settings, back or Limits(), slots)
+        self.back = GrpcTransport(self.loop, pool, self.discovery, self.settings, back or Limits(), slots)
         self.host = self.back.host = Host(self.loop, self.settings, 1, self.discovery, self.back)
         self.boxes = {f"s-{i}": Box(self.loop, box) for i in range(boxes)}
         self.list(*self.boxes)
@@ -317,5 +317,10 @@
         """Nothing is left anywhere: no call, no attempt, no held byte."""
         for _ in range(5):
             self.loop.settle()
-        left = len(self.front.calls) + self.host.tracked_requests + self.back.open + self.front.ledger.held
+        left = (
+            len(self.front.calls)
+            + self.host.tracked_requests
+            + self.back.open_attempts
+            + self.front.ledger.held
+        )
         return left == 0
--- a/tests/grpc/test_calls.py
+++ b/tests/grpc/test_calls.py
@@ -434,7 +434,7 @@
     assert scene.call(check, b"\xff").status() == Status.INVALID_ARGUMENT
     watch = scene.call("/grpc.health.v1.Health/Watch", b"")
     scene.loop.until(lambda: watch.peer.pull() and watch.body)
-    scene.health.change(False)
+    scene.health.set_serving(False)
     scene.loop.until(lambda: watch.peer.pull() and watch.body == framed(b"\x08\x01") + framed(b"\x08\x02"))
     assert scene.untouched()
 
@@ -538,7 +538,7 @@
 
         patch.setattr("pulleyroute.net.http.socket.socket", poor)
         call = client.call(CHARGE, b"x")
-        scene.loop.until(lambda: scene.host.tracked_requests and not scene.back.open)
+        scene.loop.until(lambda: scene.host.tracked_requests and not scene.back.open_attempts)
     assert not scene.host.avoided and not scene.loop.errors
     scene.again().whole().answer(b"y")
     assert call.status() == 0 and scene.done()
