--- a/tests/grpc/scene.py
+++ b/tests/grpc/scene.py
@@ -43,7 +43,7 @@
         self.peer.loop.until(lambda: self.peer.pull() and self.heads)
         return dict(self.heads[0])
 
-    def whole(self) -> Stream:
+    def wait_for_end(self) -> Stream:
         """Wait until the other side has ended, well or not."""
         self.peer.loop.until(lambda: self.peer.pull() and (self.ended or self.reset is not None))
         return self
@@ -55,7 +55,7 @@
         return self.reset
 
     def status(self) -> int:
-        return int(self.whole().last["grpc-status"])
+        return int(self.wait_for_end().last["grpc-status"])
 
     def send(self, data: bytes = b"", end: bool = False) -> Stream:
         size = 16_384
@@ -192,7 +192,7 @@
         return stream
 
 
-class Box:
+class ScriptedInstance:
     """A scripted instance."""
 
     def __init__(self, loop: ManualClockLoop, settings: dict | None = None) -> None:
@@ -245,7 +245,7 @@
         self.discovery = DiscoveryClient(self.loop, pool, ("127.0.0.1", 9), self.settings, 0)
         self.back = GrpcTransport(self.loop, pool, self.discovery, self.settings, back or Limits(), slots)
         self.host = self.back.host = Host(self.loop, self.settings, 1, self.discovery, self.back)
-        self.boxes = {f"s-{i}": Box(self.loop, box) for i in range(boxes)}
+        self.boxes = {f"s-{i}": ScriptedInstance(self.loop, box) for i in range(boxes)}
         self.list(*self.boxes)
         routes = Routes(
             [
--- a/tests/grpc/test_calls.py
+++ b/tests/grpc/test_calls.py
@@ -26,7 +26,7 @@
     head = seen.head()
     assert head[":path"] == SAFE and head["te"] == "trailers" and head[":authority"] == "api"
     assert [v for k, v in seen.heads[0] if k == "x-a"] == ["1", "2"] and head["x-b-bin"] == "AAE"
-    assert seen.whole().body == framed(b"hello")
+    assert seen.wait_for_end().body == framed(b"hello")
     seen.headers([*HEAD, ("x-i", "1"), ("x-i", "2")]).send(framed(b"there"))
     seen.headers([("grpc-status", "0"), ("x-t-bin", "AAE,AAI"), ("x-t", "b"), ("x-t", "a")], end=True)
     assert call.status() == 0 and call.body == framed(b"there")
@@ -42,11 +42,11 @@
     scene = Scene(boxes=2)
     call = scene.call(path)
     seen = scene.arrived()
-    seen.whole().only(status, ("grpc-message", "n%C3%A4h"), ("x-own", "yes"))
+    seen.wait_for_end().only(status, ("grpc-message", "n%C3%A4h"), ("x-own", "yes"))
     if TABLE[status].again and path == SAFE:
         again = scene.again()
         assert again.head()["grpc-previous-rpc-attempts"] == "1" and again.peer is not seen.peer
-        assert again.whole().body == framed(b"hi")
+        assert again.wait_for_end().body == framed(b"hi")
         again.answer(b"served")
         assert call.status() == 0 and call.body == framed(b"served")
     else:
@@ -72,7 +72,7 @@
 def test_a_charge_whose_connection_breaks_before_any_answer_is_never_sent_again():
     scene = Scene(boxes=2)
     call = scene.call(CHARGE)
-    scene.arrived().whole().peer.sock.close()
+    scene.arrived().wait_for_end().peer.sock.close()
     assert call.status() == Status.UNAVAILABLE
     assert scene.untouched() and scene.done()
 
@@ -80,9 +80,9 @@
 def test_a_safe_call_is_sent_again_until_its_answer_has_begun():
     scene = Scene(boxes=2)
     call = scene.call(SAFE, b"a" * 20_000)
-    scene.arrived().whole().cut(2)
+    scene.arrived().wait_for_end().cut(2)
     again = scene.again()
-    assert again.whole().body == framed(b"a" * 20_000)
+    assert again.wait_for_end().body == framed(b"a" * 20_000)
     again.headers(HEAD)  # gRFC A6: committed from here on
     assert call.head()
     again.cut(2)
@@ -104,7 +104,7 @@
 def test_what_proves_that_it_never_ran_lets_even_a_charge_go_elsewhere(nack):
     scene = Scene(boxes=2)
     call = scene.call(CHARGE)
-    seen = scene.arrived().whole()
+    seen = scene.arrived().wait_for_end()
     if nack == "refused stream":
         seen.cut(7)
     elif nack == "marked":
@@ -113,7 +113,7 @@
         seen.peer.goaway(0)
     again = scene.again()
     assert again.peer is not seen.peer
-    again.whole().answer(b"paid")
+    again.wait_for_end().answer(b"paid")
     assert call.status() == 0 and call.body == framed(b"paid")
     assert scene.done()
 
@@ -121,7 +121,9 @@
 def test_unmarked_unavailable_after_headers_is_no_nack():
     scene = Scene(boxes=2)
     call = scene.call(CHARGE)
-    scene.arrived().whole().headers(HEAD).headers([("grpc-status", "14"), ("x-turned-away", "1")], end=True)
+    scene.arrived().wait_for_end().headers(HEAD).headers(
+        [("grpc-status", "14"), ("x-turned-away", "1")], end=True
+    )
     assert call.status() == 14 and len(call.heads) == 2
     assert scene.untouched() and scene.done()
 
@@ -129,7 +131,7 @@
 def test_refused_says_when_to_come_back():
     scene = Scene(boxes=1, attempts=1)
     call = scene.call(SAFE)
-    scene.arrived().whole().only(8, ("x-turned-away", "1"))
+    scene.arrived().wait_for_end().only(8, ("x-turned-away", "1"))
     assert call.status() == Status.UNAVAILABLE and int(call.last["grpc-retry-pushback-ms"]) > 0
     assert scene.done()
 
@@ -138,14 +140,14 @@
 def test_an_instances_pushback_is_heeded(pushback, again):
     scene = Scene(boxes=2)
     call = scene.call(SAFE)
-    scene.arrived().whole().only(14, ("grpc-retry-pushback-ms", pushback))
+    scene.arrived().wait_for_end().only(14, ("grpc-retry-pushback-ms", pushback))
     if not again:  # answered at once: it was given up
         assert call.status() == 14 and call.last["grpc-retry-pushback-ms"] == pushback
         return
     scene.loop.settle()
     scene.loop.skip(690 * MS)
     assert not any(box.pull() for box in scene.boxes.values())  # never before it
-    scene.again().whole().answer(b"x")
+    scene.again().wait_for_end().answer(b"x")
     assert call.status() == 0 and scene.done()
 
 
@@ -165,12 +167,12 @@
     """The instance answers at the same moment: the client has one ending, and it is the deadline's."""
     scene = Scene()
     call = scene.call(SAFE, timeout="500m")
-    seen = scene.arrived().whole()
+    seen = scene.arrived().wait_for_end()
     scene.loop.time += 480 * MS  # the timer is due, and the answer is on its way
     seen.answer(b"late")
     scene.loop._timers and scene.loop.turn(0)
     scene.loop.skip(600 * MS)
-    call.whole()
+    call.wait_for_end()
     ends = [head for head in call.heads if "grpc-status" in dict(head)]
     assert len(ends) == 1 and call.ended
     assert int(dict(ends[0])["grpc-status"]) in (0, 4)
@@ -215,7 +217,7 @@
 def test_half_closed_by_the_client_the_answer_still_flows():
     scene = Scene()
     call = scene.call(SAFE, b"", end=True)
-    seen = scene.arrived().whole()
+    seen = scene.arrived().wait_for_end()
     assert seen.body == framed(b"")
     seen.headers(HEAD)
     for i in range(3):
@@ -239,7 +241,7 @@
 def test_a_machine_that_vanished_is_noticed_by_a_ping_without_answer():
     scene = Scene(back=Limits(ping_after=SECOND, ping_timeout=SECOND))
     call = scene.call(CHARGE, timeout="9S")
-    seen = scene.arrived().whole()
+    seen = scene.arrived().wait_for_end()
     assert seen.peer  # from here on nobody reads there
     scene.loop.skip(3 * SECOND)
     assert call.status() == Status.UNAVAILABLE and scene.done()
@@ -249,11 +251,11 @@
     scene = Scene()
     client = scene.client()
     first = client.call(CHARGE)
-    seen = scene.arrived().whole()
+    seen = scene.arrived().wait_for_end()
     seen.peer.goaway(seen.id)
     scene.loop.settle()
     second = client.call(CHARGE)
-    other = scene.arrived().whole()
+    other = scene.arrived().wait_for_end()
     assert other.peer is not seen.peer
     seen.answer(b"1")
     other.answer(b"2")
@@ -265,12 +267,12 @@
     scene = Scene()
     client = scene.client()
     call = client.call(CHARGE)
-    seen = scene.arrived().whole()
+    seen = scene.arrived().wait_for_end()
     scene.front.stop()
     scene.loop.until(lambda: client.pull() and client.goaways)
     assert client.goaways == [(2**31 - 1, 0)]
     crossing = client.call(CHARGE)  # on its way as the warning came: served
-    other = scene.arrived().whole()
+    other = scene.arrived().wait_for_end()
     scene.loop.skip(SECOND)
     scene.loop.until(lambda: client.pull() and len(client.goaways) == 2)
     assert client.goaways[1] == (crossing.id, 0)
@@ -286,7 +288,7 @@
 def test_a_drain_is_bounded():
     scene = Scene(limits=FrontLimits(drain=2 * SECOND))
     call = scene.call(CHARGE, timeout="9S")
-    seen = scene.arrived().whole()
+    seen = scene.arrived().wait_for_end()
     scene.front.stop()
     scene.loop.skip(3 * SECOND)
     assert call.status() == Status.UNAVAILABLE and seen.broken() == 8
@@ -309,7 +311,7 @@
     gone.close()
     for _ in range(6):
         call = scene.call(CHARGE)
-        scene.again().whole().answer(b"ok")
+        scene.again().wait_for_end().answer(b"ok")
         assert call.status() == 0
     assert scene.done()
 
@@ -356,7 +358,7 @@
     client = scene.client()
     client.reads = False
     stalled = client.call(SAFE)
-    seen = scene.arrived().whole()
+    seen = scene.arrived().wait_for_end()
     seen.headers(HEAD)
     pushed = 0
 
@@ -377,7 +379,7 @@
     upstream = next(iter(scene.back._upstreams.values()))
     assert upstream.call.stream.pending_bytes <= 65_535
     other = scene.client().call(SAFE)
-    scene.arrived().whole().answer(b"ok")
+    scene.arrived().wait_for_end().answer(b"ok")
     assert other.status() == 0
     (held,) = [call.stream for call in scene.front.calls]
     stalled.cut(8)
@@ -418,7 +420,7 @@
     client.reads = True
     calls = [client.call(SAFE, b"%d" % i, timeout="60S") for i in range(999)]
     for _ in range(999):
-        seen = scene.arrived().whole()
+        seen = scene.arrived().wait_for_end()
         seen.answer(seen.body[5:])
     for i, call in enumerate(calls):
         assert call.status() == 0 and call.body == framed(b"%d" % i)
@@ -428,8 +430,8 @@
 def test_health_is_answered_by_the_dispatcher_itself():
     scene = Scene()
     check = "/grpc.health.v1.Health/Check"
-    assert scene.call(check, b"").whole().body == framed(b"\x08\x01")
-    assert scene.call(check, b"\x0a\x08shop.Pay").whole().body == framed(b"\x08\x01")
+    assert scene.call(check, b"").wait_for_end().body == framed(b"\x08\x01")
+    assert scene.call(check, b"\x0a\x08shop.Pay").wait_for_end().body == framed(b"\x08\x01")
     assert scene.call(check, b"\x0a\x05other").status() == Status.NOT_FOUND
     assert scene.call(check, b"\xff").status() == Status.INVALID_ARGUMENT
     watch = scene.call("/grpc.health.v1.Health/Watch", b"")
@@ -442,12 +444,12 @@
 def test_a_load_report_in_trailers_steers_the_draw():
     scene = Scene(boxes=2)
     first = scene.call(SAFE)
-    full = scene.arrived().whole()
+    full = scene.arrived().wait_for_end()
     full.answer(b"", **{"endpoint-load-metrics": "TEXT named_metrics.free_slots=0,named_metrics.queue=50"})
     assert first.status() == 0
     for _ in range(6):
         call = scene.call(SAFE)
-        seen = scene.arrived().whole()
+        seen = scene.arrived().wait_for_end()
         assert seen.peer is not full.peer
         seen.answer(b"")
         assert call.status() == 0
@@ -459,10 +461,10 @@
     seen = scene.arrived()
     assert seen.head()["grpc-previous-rpc-attempts"] == "2"
     assert next(iter(scene.front.calls)).job.request.is_repeat
-    seen.whole().cut(7)
+    seen.wait_for_end().cut(7)
     again = scene.again()
     assert again.head()["grpc-previous-rpc-attempts"] == "3"
-    again.whole().answer(b"")
+    again.wait_for_end().answer(b"")
     assert call.status() == 0 and scene.done()
 
 
@@ -478,7 +480,7 @@
     scene.loop.skip(7 * SECOND)
     assert not left.pull() or not left.gone  # its calls run on
     for each in seen:
-        each.whole().answer(b"")
+        each.wait_for_end().answer(b"")
     assert [call.status() for call in calls] == [0] * len(calls)
     scene.loop.skip(7 * SECOND)
     scene.loop.until(lambda: left.pull() and left.gone)
@@ -491,7 +493,7 @@
     client = scene.client()
     for _ in range(20):
         call = client.call(SAFE, timeout="100S")
-        scene.arrived().whole().answer(b"x" * 100)
+        scene.arrived().wait_for_end().answer(b"x" * 100)
         assert call.status() == 0
     scene.loop.skip(3 * SECOND)
     assert scene.done() and not scene.front._unread
@@ -503,7 +505,7 @@
     scene = Scene()
     client = scene.client({4: 0})  # its window lets nothing through
     client.call(SAFE, timeout="2S")
-    scene.arrived().whole().answer(b"x" * 100)
+    scene.arrived().wait_for_end().answer(b"x" * 100)
     scene.loop.until(lambda: scene.front._unread)
     (stream,) = scene.front._unread
     scene.loop.skip(5 * SECOND)
@@ -519,7 +521,7 @@
     client = scene.client()
     for _ in range(30):
         call = client.call(SAFE)
-        scene.arrived().whole().answer(b"")
+        scene.arrived().wait_for_end().answer(b"")
         assert call.status() == 0
     for connection in (*scene.front.connections, *scene.back._sites[b"s-0"].connections):
         assert len(connection._h2.streams) <= 8
@@ -540,5 +542,5 @@
         call = client.call(CHARGE, b"x")
         scene.loop.until(lambda: scene.host.tracked_requests and not scene.back.open_attempts)
     assert not scene.host.avoided and not scene.loop.errors
-    scene.again().whole().answer(b"y")
+    scene.again().wait_for_end().answer(b"y")
     assert call.status() == 0 and scene.done()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -9,7 +9,7 @@
 from pulleyroute.config import load
 from pulleyroute.grpc.messages import framed
 from pulleyroute.service import CannotServe, Service
-from tests.grpc.scene import Box, Peer
+from tests.grpc.scene import Peer, ScriptedInstance
 from tests.net.scene import SECOND, Listener, ManualClockLoop, operate
 
 CONFIG = """
@@ -44,7 +44,7 @@
     def __init__(self, tmp_path, boxes=2):
         logger.remove()
         self.path, self.loop = tmp_path / "site.hcl", ManualClockLoop()
-        self.boxes = {f"a-{i}": Box(self.loop) for i in range(boxes)}
+        self.boxes = {f"a-{i}": ScriptedInstance(self.loop) for i in range(boxes)}
         with socket.socket() as sock:
             sock.bind(("127.0.0.1", 0))
             self.port = sock.getsockname()[1]
@@ -92,7 +92,7 @@
     _, other = play.arrived()
     assert other.peer is not seen.peer
     for each, message in ((seen, b"old"), (other, b"new")):
-        each.whole().answer(message)
+        each.wait_for_end().answer(message)
     assert call.status() == 0 and call.body == framed(b"old")
     assert after.status() == 0 and after.body == framed(b"new")
     play.loop.skip(3 * SECOND)
@@ -115,7 +115,7 @@
     later = [play.arrived() for _ in range(6)]
     assert all(name != keep for name, _ in later)
     for _, each in seen + later:
-        each.whole().answer(b"")
+        each.wait_for_end().answer(b"")
     assert [each.status() for each in calls + more] == [0] * 10
 
 
@@ -125,7 +125,7 @@
     assert client.call("/shop.New/Do").status() == 12
     play.change(service="shop.New", message="1KiB")
     call = client.call("/shop.New/Do")
-    play.arrived()[1].whole().answer(b"")
+    play.arrived()[1].wait_for_end().answer(b"")
     assert call.status() == 0 and client.call("/shop.Pay/Do").status() == 12
     assert client.call("/shop.New/Do", b"x" * 2000, end=False).status() == 8 and not client.gone
 
@@ -141,8 +141,8 @@
     play.change(port=port)
     play.loop.until(lambda: client.pull() and client.goaways)
     other = play.client(port).call()
-    play.arrived()[1].whole().answer(b"new")
-    seen.whole().answer(b"old")
+    play.arrived()[1].wait_for_end().answer(b"new")
+    seen.wait_for_end().answer(b"old")
     assert call.status() == 0 and other.status() == 0
     with pytest.raises(ConnectionRefusedError):
         play.client(play.port)
@@ -156,7 +156,7 @@
     assert (play.service.config, play.service.pools, play.service.fronts) == before
     play.now["port"] = play.port
     call = play.client().call()
-    play.arrived()[1].whole().answer(b"")
+    play.arrived()[1].wait_for_end().answer(b"")
     assert call.status() == 0
 
 
@@ -186,7 +186,7 @@
     play.service.stop()
     play.loop.skip(2 * SECOND)
     assert not play.loop.stopped
-    seen.whole().answer(b"")
+    seen.wait_for_end().answer(b"")
     assert call.status() == 0
     play.loop.until(lambda: client.pull() and client.gone)
     play.loop.skip(SECOND)
@@ -206,7 +206,7 @@
         return operate(play.loop, config.management, method, path)
 
     call = play.client(service.fronts["calls"].address[1]).call()
-    play.arrived()[1].whole().answer(b"done")
+    play.arrived()[1].wait_for_end().answer(b"done")
     assert call.status() == 0
     text = called("GET", "/status/metrics")[1].decode()
     for line in ("answered.charge:1|c", "errored.charge:0|c", "sends:1|c", "current:0|g", "cluster_size:2|g"):
