--- a/pulleyroute/grpc/back.py
+++ b/pulleyroute/grpc/back.py
@@ -10,9 +10,9 @@
 from loguru import logger
 
 from pulleyroute.grpc.call import Call, Upstream
-from pulleyroute.grpc.decide import Word
+from pulleyroute.grpc.decide import AttemptResult
 from pulleyroute.grpc.head import request_headers
-from pulleyroute.grpc.messages import read_load
+from pulleyroute.grpc.messages import parse_load_report
 from pulleyroute.interface import LoadReport, Outcome, Settings, WorkerId
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.discovery import DiscoveryClient
@@ -24,22 +24,22 @@
 from pulleyroute.net.metrics import Metrics
 from pulleyroute.net.tls import Tls
 
-CONNECT_TIME = 1_000_000  # where the settings name no limit; up to the peer's first SETTINGS
-CONNECTIONS = 4  # to one instance at most, where one has no room for another stream
-QUEUED = 4.0  # calls that are held to wait at an instance that has just turned one away
-SWEEP = 5_000_000  # between two looks for connections to instances that have left
-SLOTS = 100.0  # calls that an instance is held to take at once, until it says otherwise
+DEFAULT_CONNECT_TIMEOUT_US = 1_000_000  # where the settings name no limit; up to the peer's first SETTINGS
+MAX_CONNECTIONS = 4  # to one instance at most, where one has no room for another stream
+NACK_QUEUE_LENGTH = 4.0  # calls that are held to wait at an instance that has just turned one away
+SWEEP_INTERVAL_US = 5_000_000  # between two looks for connections to instances that have left
+DEFAULT_SLOTS = 100.0  # calls that an instance is held to take at once, until it says otherwise
 
 
 @dataclass(slots=True, eq=False)
-class Site:
+class InstanceState:
     """One instance as seen from here."""
 
     connections: list[Http2Connection] = field(default_factory=list)
     waiting: dict[Attempt, None] = field(default_factory=dict)
-    connecting: Task | None = None
-    doubted: bool = False  # the last connection did not come up
-    out: int = 0  # attempts there
+    connect_task: Task | None = None
+    unreachable: bool = False  # the last connection did not come up
+    open_attempts: int = 0  # attempts there
 
 
 class GrpcTransport:
@@ -52,7 +52,7 @@
         discovery: DiscoveryClient,
         settings: Settings,
         limits: Limits,
-        slots: float = SLOTS,
+        slots: float = DEFAULT_SLOTS,
         message_bytes: int = 0,
         context: ssl.SSLContext | None = None,
         server_name: str = "",
@@ -62,7 +62,7 @@
         self._loop, self._pool, self._discovery, self._settings = loop, pool, discovery, settings
         self.limits, self.slots, self.message_bytes = limits, slots, message_bytes
         self.context, self.server_name = context, server_name
-        self._sites: dict[WorkerId, Site] = {}
+        self._instances: dict[WorkerId, InstanceState] = {}
         self._upstreams: dict[Attempt, Upstream] = {}
         self.ended: AttemptEnded = lambda attempt, outcome, report: None
         self.gate: BeginCheck = lambda attempt: True
@@ -82,33 +82,33 @@
         """Send a call out; its outcome is told to the host."""
         call = attempt.call
         assert isinstance(call, Call)
-        site = self._sites.setdefault(attempt.instance, Site())
-        upstream = Upstream(call, attempt, self._finished, self.message_bytes)
+        state = self._instances.setdefault(attempt.instance, InstanceState())
+        upstream = Upstream(call, attempt, self._attempt_finished, self.message_bytes)
         self._upstreams[attempt] = upstream
-        site.out += 1
-        connection = next((c for c in site.connections if c.has_capacity and c.ready), None)
+        state.open_attempts += 1
+        connection = next((c for c in state.connections if c.has_capacity and c.ready), None)
         if connection is not None:
-            self._open(connection, upstream)
+            self._open_stream(connection, upstream)
             return
-        if len([c for c in site.connections if not c.draining]) >= CONNECTIONS:
+        if len([c for c in state.connections if not c.draining]) >= MAX_CONNECTIONS:
             attempt.nacked = True  # it was not sent: the instance lets no more streams in
-            self._let_go(attempt)
-            self.ended(attempt, Outcome.FULL, self._report(attempt.instance))
+            self._remove_attempt(attempt)
+            self.ended(attempt, Outcome.FULL, self._estimate_load(attempt.instance))
             return
-        site.waiting[attempt] = None
-        self._connect(attempt.instance, site)
+        state.waiting[attempt] = None
+        self._connect(attempt.instance, state)
 
-    def _open(self, connection: Http2Connection, upstream: Upstream) -> None:
+    def _open_stream(self, connection: Http2Connection, upstream: Upstream) -> None:
         attempt, call = upstream.attempt, upstream.call
         if not self.gate(attempt):  # what allowed it may have passed while the connection came up
-            self._let_go(attempt)
+            self._remove_attempt(attempt)
             return
-        left = attempt.timeout_at - self._loop.now()
+        time_left = attempt.timeout_at - self._loop.now()
         headers = request_headers(
             call.head,
             b"https" if self.context is not None else b"http",
-            left,
-            call.head.attempts + attempt.index,
+            time_left,
+            call.head.previous_attempts + attempt.index,
         )
         # a connection is many calls': its end says nothing of this one's instance
         attempt.reused_connection = True
@@ -118,22 +118,22 @@
             self._metrics.sends += 1
         except ConnectionFailed:
             attempt.written = False
-            self._let_go(attempt)
+            self._remove_attempt(attempt)
             self.ended(attempt, Outcome.MOOT, None)
             return
         call.attach(upstream)
         if self.host is not None:
             self.host.started(attempt)
 
-    def _let_go(self, attempt: Attempt) -> Upstream | None:
+    def _remove_attempt(self, attempt: Attempt) -> Upstream | None:
         upstream = self._upstreams.pop(attempt, None)
         if upstream is not None:
             upstream.call.detach(upstream)
-            self._sites[attempt.instance].out -= 1
-            self._sites[attempt.instance].waiting.pop(attempt, None)
+            self._instances[attempt.instance].open_attempts -= 1
+            self._instances[attempt.instance].waiting.pop(attempt, None)
         return upstream
 
-    def _finished(self, upstream: Upstream, word: Word, trailers: Headers) -> None:
+    def _attempt_finished(self, upstream: Upstream, result: AttemptResult, trailers: Headers) -> None:
         """An instance's last word on an attempt; it may have asked to be left alone for a while first."""
         attempt = upstream.attempt
         stream = upstream.stream
@@ -141,25 +141,27 @@
             # An answer before the request's end: nobody reads the rest. Not before this turn's events are
             # over.
             self._loop.call_at(self._loop.now(), lambda: stream.reset(Code.NO_ERROR))
-        self._let_go(attempt)
-        attempt.nacked = attempt.nacked or word.nacked
-        report = read_load(trailers, self.slots) or self._report(attempt.instance)
-        if word.outcome is Outcome.FULL:
+        self._remove_attempt(attempt)
+        attempt.nacked = attempt.nacked or result.nacked
+        report = parse_load_report(trailers, self.slots) or self._estimate_load(attempt.instance)
+        if result.outcome is Outcome.FULL:
             # Guards an instance that turns one away against being shut out for seconds: what is counted here
             # would show room, and room shown but not given is how the decisions know one that leaves.
-            held = report.in_hand or 0.0
-            report = LoadReport(free_slots=0.0, in_hand=held, queued=held + QUEUED)
-        if word.hold:
-            self._loop.call_at(self._loop.now() + word.hold, lambda: self._settle(attempt, word, report))
+            in_hand = report.in_hand or 0.0
+            report = LoadReport(free_slots=0.0, in_hand=in_hand, queued=in_hand + NACK_QUEUE_LENGTH)
+        if result.delay_us:
+            self._loop.call_at(
+                self._loop.now() + result.delay_us, lambda: self._settle(attempt, result, report)
+            )
         else:
-            self._settle(attempt, word, report)
+            self._settle(attempt, result, report)
 
-    def _settle(self, attempt: Attempt, word: Word, report: LoadReport | None) -> None:
+    def _settle(self, attempt: Attempt, result: AttemptResult, report: LoadReport | None) -> None:
         if self.host is not None:
-            self.host.settle(attempt, word.outcome, report, ending=word.ending)
+            self.host.settle(attempt, result.outcome, report, ending=result.ending)
 
     def give_up(self, attempt: Attempt, given: Callable[[], None]) -> None:
-        upstream = self._let_go(attempt)
+        upstream = self._remove_attempt(attempt)
         if upstream is not None:
             upstream.give_up()
         given()
@@ -171,44 +173,52 @@
 
         Guards the descriptors where instances come and go: the connections would stay open for ever.
         """
-        for instance, site in list(self._sites.items()):
-            if not self._discovery.active(instance) and not site.out:
-                for connection in list(site.connections):
+        for instance, state in list(self._instances.items()):
+            if not self._discovery.active(instance) and not state.open_attempts:
+                for connection in list(state.connections):
                     connection.close("the instance has left")
-                if not site.connections and site.connecting is None:
-                    del self._sites[instance]
-        self._sweeping = any(site.connections for site in self._sites.values())
+                if not state.connections and state.connect_task is None:
+                    del self._instances[instance]
+        self._sweeping = any(state.connections for state in self._instances.values())
         if self._sweeping:
-            self._loop.call_at(self._loop.now() + SWEEP, self._sweep)
+            self._loop.call_at(self._loop.now() + SWEEP_INTERVAL_US, self._sweep)
 
-    def _connect(self, instance: WorkerId, site: Site) -> None:
-        if site.connecting is None or site.connecting.done:
-            site.connecting = Task(self._loop, self._connecting(instance, site), "grpc connection")
-            site.connecting.start()
+    def _connect(self, instance: WorkerId, state: InstanceState) -> None:
+        if state.connect_task is None or state.connect_task.done:
+            state.connect_task = Task(
+                self._loop, self._establish_connection(instance, state), "grpc connection"
+            )
+            state.connect_task.start()
 
-    def _connecting(self, instance: WorkerId, site: Site) -> Coroutine[None]:
+    def _establish_connection(self, instance: WorkerId, state: InstanceState) -> Coroutine[None]:
         """Bring a connection up to the peer's SETTINGS; then let what waits for it go out."""
-        limit = self._loop.now() + (self._settings.connect_timeout or CONNECT_TIME)
+        deadline = self._loop.now() + (self._settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_US)
         connection: Http2Connection | None = None
         try:
             member = self._discovery.member(instance)
             if member is None:
                 raise ConnectionFailed("not in the discovery client")
-            sock = yield from dial(self._loop, member.address, limit)
+            sock = yield from dial(self._loop, member.address, deadline)
             tls = None
             if self.context is not None:
                 tls = Tls(self.context, False, self.server_name or member.address[0])
             connection = Http2Connection(
-                self._loop, self._pool, sock, False, self.limits, tls, on_closed=self._gone(instance)
+                self._loop,
+                self._pool,
+                sock,
+                False,
+                self.limits,
+                tls,
+                on_closed=self._closed_handler(instance),
             )
-            task = site.connecting
+            task = state.connect_task
             if task is not None:
                 connection.on_ready = task.wake
             connection.start()
             while not connection.ready and not connection.closed:
-                if self._loop.now() >= limit:
+                if self._loop.now() >= deadline:
                     raise ConnectionFailed("no settings in time")
-                yield Wait(until=limit)
+                yield Wait(until=deadline)
             if connection.closed:
                 raise ConnectionFailed("it ended before its settings came")
         except (ConnectionFailed, ConnectionLimitReached, DeadlineExceeded) as exc:
@@ -218,82 +228,82 @@
             if connection is not None:
                 connection.close("no use")
             # Guards the instance: descriptors that ran out here are no fault of its.
-            crowded = isinstance(exc, ConnectionLimitReached)
-            site.doubted = not crowded
-            waiting, site.waiting = list(site.waiting), {}
+            limit_reached = isinstance(exc, ConnectionLimitReached)
+            state.unreachable = not limit_reached
+            waiting, state.waiting = list(state.waiting), {}
             for attempt in waiting:
-                self._let_go(attempt)
-                self.ended(attempt, Outcome.MOOT if crowded else Outcome.CONNECT_FAILED, None)
+                self._remove_attempt(attempt)
+                self.ended(attempt, Outcome.MOOT if limit_reached else Outcome.CONNECT_FAILED, None)
             return
         connection.on_ready = None
-        site.doubted = False
-        site.connecting = None
-        site.connections.append(connection)
+        state.unreachable = False
+        state.connect_task = None
+        state.connections.append(connection)
         if not self._sweeping:
             self._sweeping = True
-            self._loop.call_at(self._loop.now() + SWEEP, self._sweep)
-        while site.waiting and connection.has_capacity:
-            attempt = next(iter(site.waiting))
-            del site.waiting[attempt]
-            self._open(connection, self._upstreams[attempt])
-        if site.waiting:
+            self._loop.call_at(self._loop.now() + SWEEP_INTERVAL_US, self._sweep)
+        while state.waiting and connection.has_capacity:
+            attempt = next(iter(state.waiting))
+            del state.waiting[attempt]
+            self._open_stream(connection, self._upstreams[attempt])
+        if state.waiting:
             # Their turn comes on another connection, or they are told that there is no room.
-            waiting, site.waiting = list(site.waiting), {}
+            waiting, state.waiting = list(state.waiting), {}
             for attempt in waiting:
                 self._upstreams.pop(attempt)
-                site.out -= 1
+                state.open_attempts -= 1
                 self.attempt(attempt)
 
-    def _gone(self, instance: WorkerId):  # type: ignore[no-untyped-def]
-        def gone(connection: Http2Connection, why: str) -> None:
-            site = self._sites.get(instance)
-            if site is not None and connection in site.connections:
-                site.connections.remove(connection)
+    def _closed_handler(self, instance: WorkerId):  # type: ignore[no-untyped-def]
+        def closed(connection: Http2Connection, why: str) -> None:
+            state = self._instances.get(instance)
+            if state is not None and connection in state.connections:
+                state.connections.remove(connection)
                 logger.bind(event="instance.connection_ended", instance=instance.decode()).info(
                     "instance {}: connection ended: {}", instance.decode(), why
                 )
 
-        return gone
+        return closed
 
     def close_idle(self, instance: WorkerId) -> None:
-        site = self._sites.get(instance)
-        for connection in list(site.connections) if site is not None else []:
+        state = self._instances.get(instance)
+        for connection in list(state.connections) if state is not None else []:
             if not len(connection):
                 connection.close("idle")
 
     def close(self) -> None:
         """End every connection: the pool is not used any more."""
-        for site in self._sites.values():
-            for connection in list(site.connections):
+        for state in self._instances.values():
+            for connection in list(state.connections):
                 connection.close("the pool is closed")
 
     # Load
 
-    def _report(self, instance: WorkerId) -> LoadReport:
+    def _estimate_load(self, instance: WorkerId) -> LoadReport:
         """What is known without a word of the instance: own calls there against its slots."""
-        site = self._sites.get(instance)
-        out = site.out if site is not None else 0
-        return LoadReport(free_slots=max(0.0, self.slots - out), in_hand=float(out))
+        state = self._instances.get(instance)
+        open_attempts = state.open_attempts if state is not None else 0
+        return LoadReport(free_slots=max(0.0, self.slots - open_attempts), in_hand=float(open_attempts))
 
     def probe(self, instance: WorkerId) -> None:
         """Costs the instance nothing while its connections stand; else it is whether one comes up."""
-        site = self._sites.setdefault(instance, Site())
-        if not site.doubted or site.connections:
+        state = self._instances.setdefault(instance, InstanceState())
+        if not state.unreachable or state.connections:
             # At once, so that a burst right after the start finds room: without a word of an instance the
             # decisions give it one call. The host keeps it until the event in hand is over.
-            self.probed(instance, Outcome.OK, 0, self._report(instance))
+            self.probed(instance, Outcome.OK, 0, self._estimate_load(instance))
         else:
-            self._loop.spawn(self._probing(instance, site), "probe")
+            self._loop.spawn(self._probe_by_connecting(instance, state), "probe")
 
-    def _probing(self, instance: WorkerId, site: Site) -> Coroutine[None]:
-        began = self._loop.now()
-        self._connect(instance, site)
-        while site.connecting is not None and not site.connecting.done:
+    def _probe_by_connecting(self, instance: WorkerId, state: InstanceState) -> Coroutine[None]:
+        started = self._loop.now()
+        self._connect(instance, state)
+        while state.connect_task is not None and not state.connect_task.done:
             yield Wait(until=self._loop.now() + 20_000)
-        outcome = Outcome.CONNECT_FAILED if site.doubted else Outcome.OK
+        outcome = Outcome.CONNECT_FAILED if state.unreachable else Outcome.OK
         self.probed(
             instance,
             outcome,
-            self._loop.now() - began,
-            self._report(instance) if outcome is Outcome.OK else None,
+            self._loop.now() - started,
+            self._estimate_load(instance) if outcome is Outcome.OK else None,
         )
--- a/pulleyroute/grpc/call.py
+++ b/pulleyroute/grpc/call.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from pulleyroute.grpc.decide import Replay, Word, judge_break, judge_trailers
-from pulleyroute.grpc.head import Head, closing, failure, one, passed
-from pulleyroute.grpc.meter import Meter
+from pulleyroute.grpc.decide import AttemptResult, ReplayBuffer, classify_abort, classify_trailers
+from pulleyroute.grpc.head import RequestHead, first_value, status_trailers, trailers_only, without_hop_by_hop
+from pulleyroute.grpc.meter import MessageMeter
 from pulleyroute.grpc.status import Status
 from pulleyroute.net.buffers import Ledger
 from pulleyroute.net.host import Host
@@ -22,17 +22,17 @@
 from pulleyroute.net.instance import Attempt
 from pulleyroute.net.requests import Answer, Ending, Job
 
-GRACE = 5_000_000  # a call that has ended may take so long to reach a client that reads slowly
+SLOW_READER_GRACE_US = 5_000_000  # a call that has ended may take so long to reach a client that reads slowly
 
 
-class Finish(Protocol):
+class AttemptFinished(Protocol):
     """What a back does with an attempt's end."""
 
-    def __call__(self, upstream: Upstream, word: Word, trailers: Headers) -> None: ...
+    def __call__(self, upstream: Upstream, result: AttemptResult, trailers: Headers) -> None: ...
 
 
 @dataclass(slots=True)
-class Said:
+class FinalResponse:
     """The last word of an instance on a call that is still open."""
 
     status: Status
@@ -49,28 +49,28 @@
         self,
         host: Host,
         stream: Stream,
-        head: Head,
-        replay: int,
+        head: RequestHead,
+        replay_limit: int,
         ledger: Ledger,
         message_bytes: int,
-        over: Callable[[Call, Status], None],
+        on_ended: Callable[[Call, Status], None],
     ) -> None:
         self.host = host
         self.stream = stream
         self.head = head
-        self.replay = Replay(replay)
+        self.replay = ReplayBuffer(replay_limit)
         self.job: Job | None = None
         self.upstream: Upstream | None = None  # the attempt that is out
-        self.said: Said | None = None
+        self.final_response: FinalResponse | None = None
         self.done = False
         self.status: Status | None = None
         self.refused = False  # its ending says that it never ran
-        self.gone = False  # its client left before its ending
+        self.client_gone = False  # its client left before its ending
         self._ledger = ledger
-        self._over = over
-        self._credited = 0  # of the request's bytes: given back to the client's window
-        self._begun = False  # headers went to the client
-        self._meter = Meter(message_bytes)
+        self._on_ended = on_ended
+        self._credited_bytes = 0  # of the request's bytes: given back to the client's window
+        self._headers_sent = False  # headers went to the client
+        self._meter = MessageMeter(message_bytes)
 
     # The client's stream
 
@@ -84,16 +84,16 @@
         if not self._meter.feed(data):
             self.fail(Status.RESOURCE_EXHAUSTED, "a message is larger than the dispatcher takes")
             return
-        self.replay.add(data)
+        self.replay.append(data)
         self._ledger.held += len(data)
         if self.upstream is not None:
-            self.upstream.feed()
+            self.upstream.forward_request()
         self._bound_memory()
 
     def ended(self, trailers: Headers) -> None:
         self.replay.ended = True
         if self.upstream is not None:
-            self.upstream.feed()
+            self.upstream.forward_request()
 
     def sent(self, count: int) -> None:
         if self.upstream is not None:
@@ -101,7 +101,7 @@
 
     def aborted(self, code: int | None, never_ran: bool, why: str) -> None:
         """The client has cancelled, or is gone: its instance hears of it too."""
-        self.gone = True
+        self.client_gone = True
         if not self.done:
             self._conclude(Status.CANCELLED)
             if self.job is not None:
@@ -112,7 +112,7 @@
     def attach(self, upstream: Upstream) -> None:
         """An attempt is out now and gets the request from its beginning."""
         self.upstream = upstream
-        upstream.feed()
+        upstream.forward_request()
         self._bound_memory()
 
     def detach(self, upstream: Upstream) -> None:
@@ -121,114 +121,123 @@
 
     def forwarded(self, offset: int) -> None:
         """So many of the request's bytes have gone to an instance: the client may send as many more."""
-        if offset > self._credited:
-            self.stream.consumed(offset - self._credited)
-            self._credited = offset
-        if not self.replay.whole and self.upstream is not None:
-            self._let_go(self.upstream.position)
+        if offset > self._credited_bytes:
+            self.stream.consumed(offset - self._credited_bytes)
+            self._credited_bytes = offset
+        if not self.replay.complete and self.upstream is not None:
+            self._discard_replay(self.upstream.position)
 
     def _bound_memory(self) -> None:
         """Commit once the request no longer fits: what is out is then its last attempt (gRFC A6)."""
         if self.upstream is None or self.done:
             return
-        if (self.replay.over or self._ledger.full) and self.replay.whole and self.job is not None:
+        if (self.replay.over_limit or self._ledger.full) and self.replay.complete and self.job is not None:
             self.job.replay_dropped = True
-        if self.job is not None and (self.job.replay_dropped or self._begun):
-            self._let_go(self.upstream.position)
+        if self.job is not None and (self.job.replay_dropped or self._headers_sent):
+            self._discard_replay(self.upstream.position)
 
-    def _let_go(self, offset: int) -> None:
-        before = self.replay.held
-        self.replay.let_go(offset)
-        self._ledger.held -= before - self.replay.held
+    def _discard_replay(self, offset: int) -> None:
+        before = self.replay.buffered_bytes
+        self.replay.discard_before(offset)
+        self._ledger.held -= before - self.replay.buffered_bytes
 
     # The answer
 
-    def begin(self, headers: Headers) -> None:
+    def begin_response(self, headers: Headers) -> None:
         """The answer's headers go out: no other attempt from here on."""
-        self._begun = True
-        self.stream.send_headers(passed(headers))
+        self._headers_sent = True
+        self.stream.send_headers(without_hop_by_hop(headers))
         self._bound_memory()
 
     def reply(self, answer: Answer) -> None:
         """The host's one answer."""
         if self.done:
             return
-        said = self.said
+        final_response = self.final_response
         if answer.ending is not Ending.SERVED and answer.late:
             # Guards what the client's own clock will say anyway, and a reader that takes nothing any more.
-            self.fail(Status.DEADLINE_EXCEEDED, "the deadline is over", cut=True)
-        elif said is not None and (said.headers or said.trailers) and answer.ending is not Ending.REFUSED:
-            self._deliver(said)
+            self.fail(Status.DEADLINE_EXCEEDED, "the deadline is over", discard_pending=True)
+        elif (
+            final_response is not None
+            and (final_response.headers or final_response.trailers)
+            and answer.ending is not Ending.REFUSED
+        ):
+            self._deliver(final_response)
         elif answer.ending is Ending.REFUSED:
             self.refused = True
             self.fail(
-                Status.UNAVAILABLE, "refused: it has not run, come back later", advice=answer.retry_after
+                Status.UNAVAILABLE, "refused: it has not run, come back later", retry_after=answer.retry_after
             )
-        elif said is not None:
-            self.fail(said.status, f"failed and may have run: {said.text}")
+        elif final_response is not None:
+            self.fail(final_response.status, f"failed and may have run: {final_response.text}")
         else:
             self.fail(Status.UNAVAILABLE, "failed: it may have run")
 
-    def _deliver(self, said: Said) -> None:
+    def _deliver(self, final_response: FinalResponse) -> None:
         """An instance's own ending, as it is."""
-        self._conclude(said.status)
-        if self._begun:
-            self.stream.finish(said.trailers)
-        elif said.headers:
-            self.stream.send_headers(passed(said.headers), end=True)
+        self._conclude(final_response.status)
+        if self._headers_sent:
+            self.stream.finish(final_response.trailers)
+        elif final_response.headers:
+            self.stream.send_headers(without_hop_by_hop(final_response.headers), end=True)
         else:
             self.stream.send_headers(
-                [(b":status", b"200"), (b"content-type", b"application/grpc"), *said.trailers], end=True
+                [(b":status", b"200"), (b"content-type", b"application/grpc"), *final_response.trailers],
+                end=True,
             )
 
-    def fail(self, status: Status, text: str, advice: int | None = None, cut: bool = False) -> None:
+    def fail(
+        self, status: Status, text: str, retry_after: int | None = None, discard_pending: bool = False
+    ) -> None:
         """An ending of our own. `cut`: do not wait until what is on its way has been read."""
         if self.done:
             return
         self._conclude(status)
-        if self._begun:
-            if cut:
+        if self._headers_sent:
+            if discard_pending:
                 self.stream.discard_pending()
-            self.stream.finish(closing(status, text, advice or None))
+            self.stream.finish(status_trailers(status, text, retry_after or None))
         else:
-            self.stream.send_headers(failure(status, text, advice or None), end=True)
+            self.stream.send_headers(trailers_only(status, text, retry_after or None), end=True)
         if self.job is not None:
             self.host.abandon(self.job, stop=True)
 
     def _conclude(self, status: Status) -> None:
         self.done = True
         self.status = status
-        self._ledger.held -= self.replay.held
+        self._ledger.held -= self.replay.buffered_bytes
         self.replay.clear()
-        self._over(self, status)
+        self._on_ended(self, status)
 
 
 class Upstream:
     """One attempt's stream, and what of the request has gone there."""
 
-    def __init__(self, call: Call, attempt: Attempt, finish: Finish, message_bytes: int) -> None:
+    def __init__(
+        self, call: Call, attempt: Attempt, on_finished: AttemptFinished, message_bytes: int
+    ) -> None:
         self.call = call
         self.attempt = attempt
         self.stream: Stream | None = None
         self.position = 0  # of the request: handed to the stream
-        self.gone = 0  # of it: with the kernel
-        self._finish = finish
-        self._http = 0
-        self._head: Headers | None = None  # a head that is the whole answer
-        self._bound = False
-        self._over = False
-        self._ended = False  # our side, as far as it was asked for
-        self._meter = Meter(message_bytes)
-
-    def feed(self) -> None:
+        self.sent_bytes = 0  # of it: with the kernel
+        self._on_finished = on_finished
+        self._http_status = 0
+        self._final_headers: Headers | None = None  # a head that is the whole answer
+        self._committed = False
+        self._finished = False
+        self._request_ended = False  # our side, as far as it was asked for
+        self._meter = MessageMeter(message_bytes)
+
+    def forward_request(self) -> None:
         """Hand on what the client has sent since."""
-        if self.stream is None or self._over or self._ended:
+        if self.stream is None or self._finished or self._request_ended:
             return
-        for chunk in self.call.replay.after(self.position):
+        for chunk in self.call.replay.chunks_from(self.position):
             self.stream.write(chunk)
             self.position += len(chunk)
         if self.call.replay.ended:
-            self._ended = True
+            self._request_ended = True
             self.stream.finish()
 
     def stream_consumed(self, count: int) -> None:
@@ -236,25 +245,25 @@
             self.stream.consumed(count)
 
     def headers(self, headers: Headers, ended: bool) -> None:
-        if self._over or self._bound:
+        if self._finished or self._committed:
             return
-        self._http = int(one(headers, b":status") or b"0")
-        kind = one(headers, b"content-type") or b""
-        if ended or self._http != 200 or not kind.startswith(b"application/grpc"):
-            self._head = headers
+        self._http_status = int(first_value(headers, b":status") or b"0")
+        content_type = first_value(headers, b"content-type") or b""
+        if ended or self._http_status != 200 or not content_type.startswith(b"application/grpc"):
+            self._final_headers = headers
             if not ended:  # no gRPC at all, with a body that nobody reads
-                self._conclude(one(headers, b"grpc-status") is not None)
+                self._conclude(first_value(headers, b"grpc-status") is not None)
             return
         if not self.call.host.begin_answer(self.attempt):
-            self._over = True
+            self._finished = True
             if self.stream is not None:
                 self.stream.reset()
             return
-        self._bound = True
-        self.call.begin(headers)
+        self._committed = True
+        self.call.begin_response(headers)
 
     def data(self, data: bytes) -> None:
-        if not self._bound or self.call.done:
+        if not self._committed or self.call.done:
             self.stream_consumed(len(data))
         elif not self._meter.feed(data):
             self.call.fail(
@@ -264,60 +273,62 @@
             self.call.stream.write(data)
 
     def ended(self, trailers: Headers) -> None:
-        if self._over:
+        if self._finished:
             return
-        if self._head is not None:
+        if self._final_headers is not None:
             self._conclude(True)
             return
-        self._over = True
-        word = self._judge(trailers)
-        self.call.said = Said(
-            word.status, trailers=passed(trailers) or closing(word.status, "no status came")
+        self._finished = True
+        result = self._classify(trailers)
+        self.call.final_response = FinalResponse(
+            result.status,
+            trailers=without_hop_by_hop(trailers) or status_trailers(result.status, "no status came"),
         )
-        self._finish(self, word, trailers)
+        self._on_finished(self, result, trailers)
 
     def _conclude(self, is_grpc: bool) -> None:
         """The answer was a head alone."""
-        head = self._head or []
-        self._over = True
-        word = self._judge(head)
-        if is_grpc and one(head, b"grpc-status") is not None:
-            self.call.said = Said(word.status, headers=head)
+        head = self._final_headers or []
+        self._finished = True
+        result = self._classify(head)
+        if is_grpc and first_value(head, b"grpc-status") is not None:
+            self.call.final_response = FinalResponse(result.status, headers=head)
         else:
-            self.call.said = Said(
-                word.status,
-                trailers=closing(
-                    word.status, f"an instance answered HTTP status {self._http} without a gRPC status"
+            self.call.final_response = FinalResponse(
+                result.status,
+                trailers=status_trailers(
+                    result.status,
+                    f"an instance answered HTTP status {self._http_status} without a gRPC status",
                 ),
             )
-        self._finish(self, word, head)
+        self._on_finished(self, result, head)
 
-    def _judge(self, trailers: Headers) -> Word:
+    def _classify(self, trailers: Headers) -> AttemptResult:
         host, attempt = self.call.host, self.attempt
-        left = attempt.timeout_at - host.now()
-        return judge_trailers(
-            self._http or 200,
+        time_left = attempt.timeout_at - host.now()
+        return classify_trailers(
+            self._http_status or 200,
             trailers,
-            self._bound,
-            left,
+            self._committed,
+            time_left,
             attempt.unsafe,
             attempt.index + 1 >= host.max_attempts,
         )
 
     def sent(self, count: int) -> None:
-        self.gone += count
-        self.call.forwarded(self.gone)
+        self.sent_bytes += count
+        self.call.forwarded(self.sent_bytes)
 
     def aborted(self, code: int | None, never_ran: bool, why: str) -> None:
-        if self._over:
+        if self._finished:
             return
-        self._over = True
-        word = judge_break(code, never_ran and not self._bound)
-        self.call.said = Said(word.status, text=why)
-        self._finish(self, word, [])
+        self._finished = True
+        result = classify_abort(code, never_ran and not self._committed)
+        self.call.final_response = FinalResponse(result.status, text=why)
+        self._on_finished(self, result, [])
 
     def give_up(self) -> None:
         """Stop it: the instance sees RST_STREAM with CANCEL."""
-        self._over = True
+        self._finished = True
         if self.stream is not None:
             self.stream.reset(Code.CANCEL)
--- a/pulleyroute/grpc/decide.py
+++ b/pulleyroute/grpc/decide.py
@@ -10,15 +10,24 @@
 from collections import deque
 from dataclasses import dataclass
 
-from pulleyroute.grpc.head import one
-from pulleyroute.grpc.status import MAY_NACK, NACK, TABLE, Status, Verdict, from_http, from_reset, read_status
+from pulleyroute.grpc.head import first_value
+from pulleyroute.grpc.status import (
+    CLASSIFICATIONS,
+    NACK,
+    NACK_STATUSES,
+    Classification,
+    Status,
+    parse_status,
+    status_from_http,
+    status_from_reset,
+)
 from pulleyroute.interface import Outcome
 from pulleyroute.net.http import Headers
 from pulleyroute.net.requests import Ending
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
+class AttemptResult:
     """What one attempt came to.
 
     `ending` is set where the call ends with it whatever the class; `hold` is how many microseconds the
@@ -29,96 +38,100 @@
     outcome: Outcome
     status: Status
     ending: Ending | None = None
-    hold: int = 0
+    delay_us: int = 0
     nacked: bool = False
 
 
-def read_pushback(trailers: Headers) -> int | None:
+def parse_pushback(trailers: Headers) -> int | None:
     """`grpc-retry-pushback-ms` in microseconds: None where absent, -1 for "do not retry" or anything
     unreadable."""
-    value = one(trailers, b"grpc-retry-pushback-ms")
+    value = first_value(trailers, b"grpc-retry-pushback-ms")
     if value is None:
         return None
     return int(value) * 1000 if value.isdigit() and len(value) <= 10 else -1
 
 
-def judge_trailers(
-    http: int, trailers: Headers, committed: bool, left: int, unsafe: bool, last: bool
-) -> Word:
+def classify_trailers(
+    http_status: int, trailers: Headers, committed: bool, time_left: int, unsafe: bool, last_attempt: bool
+) -> AttemptResult:
     """An attempt that ended with trailers, or with a head alone.
 
     `committed`: the client has had headers of it; `left`: microseconds until the call's deadline; `unsafe`:
     its class must never run twice; `last`: no attempt is left.
     """
-    text = one(trailers, b"grpc-status")
-    status = read_status(text) if text is not None else from_http(http)
-    if text is None and http == 200:
+    text = first_value(trailers, b"grpc-status")
+    status = parse_status(text) if text is not None else status_from_http(http_status)
+    if text is None and http_status == 200:
         status = Status.INTERNAL  # "gRPC over HTTP2": the trailers must carry a status
-    marked = not committed and status in MAY_NACK and one(trailers, b"x-turned-away") == b"1"
-    verdict: Verdict = NACK if marked else TABLE[status]
-    pushback = read_pushback(trailers)
-    again = verdict.again or (status in MAY_NACK and pushback is not None and pushback >= 0)
-    if committed or not again:
-        return Word(verdict.outcome, status, verdict.ending)
-    if last or (unsafe and not marked):
-        return Word(verdict.outcome, status, nacked=marked)  # it goes out no more: nothing to wait for
-    if pushback is not None and (pushback < 0 or pushback >= left):
+    marked = not committed and status in NACK_STATUSES and first_value(trailers, b"x-turned-away") == b"1"
+    classification: Classification = NACK if marked else CLASSIFICATIONS[status]
+    pushback = parse_pushback(trailers)
+    retryable = classification.retryable or (
+        status in NACK_STATUSES and pushback is not None and pushback >= 0
+    )
+    if committed or not retryable:
+        return AttemptResult(classification.outcome, status, classification.ending)
+    if last_attempt or (unsafe and not marked):
+        return AttemptResult(
+            classification.outcome, status, nacked=marked
+        )  # it goes out no more: nothing to wait for
+    if pushback is not None and (pushback < 0 or pushback >= time_left):
         # gRFC A6: a negative value forbids the retry; one past the deadline does so in effect, and whoever
         # has been given up is answered at once.
-        return Word(verdict.outcome, status, verdict.ending, nacked=marked)
-    return Word(verdict.outcome, status, hold=pushback or 0, nacked=marked)
+        return AttemptResult(classification.outcome, status, classification.ending, nacked=marked)
+    return AttemptResult(classification.outcome, status, delay_us=pushback or 0, nacked=marked)
 
 
-def judge_break(code: int | None, never_ran: bool) -> Word:
+def classify_abort(code: int | None, never_ran: bool) -> AttemptResult:
     """An attempt whose stream was reset with an HTTP/2 code, or whose connection broke (None)."""
-    status = from_reset(code)
+    status = status_from_reset(code)
     if never_ran:
         # gRFC A6, transparent retries: REFUSED_STREAM, or above a GOAWAY's last id, which says nothing of
         # load.
-        return Word(Outcome.MOOT if code is None else Outcome.FULL, status, nacked=True)
-    return Word(Outcome.RESET if code is None else Outcome.ERROR, status)
+        return AttemptResult(Outcome.MOOT if code is None else Outcome.FULL, status, nacked=True)
+    return AttemptResult(Outcome.RESET if code is None else Outcome.ERROR, status)
 
 
-class Replay:
+class ReplayBuffer:
     """A request's bytes: those that a resend would need, and those not yet handed to the one attempt left.
 
     `most` bounds what is kept for a resend, in bytes. Offsets count from the request's first byte.
     """
 
-    __slots__ = ("_chunks", "ended", "kept_from", "most", "size")
+    __slots__ = ("_chunks", "ended", "max_bytes", "start_offset", "total_bytes")
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
         self._chunks: deque[bytes] = deque()
-        self.kept_from = 0  # bytes before it are gone: committed
-        self.size = 0  # bytes so far, kept or not
+        self.start_offset = 0  # bytes before it are gone: committed
+        self.total_bytes = 0  # bytes so far, kept or not
         self.ended = False
 
     @property
-    def held(self) -> int:
-        return self.size - self.kept_from
+    def buffered_bytes(self) -> int:
+        return self.total_bytes - self.start_offset
 
     @property
-    def whole(self) -> bool:
-        return self.kept_from == 0
+    def complete(self) -> bool:
+        return self.start_offset == 0
 
     @property
-    def over(self) -> bool:
+    def over_limit(self) -> bool:
         """More than may be kept for a resend."""
-        return self.held > self.most
+        return self.buffered_bytes > self.max_bytes
 
-    def add(self, data: bytes) -> None:
+    def append(self, data: bytes) -> None:
         self._chunks.append(data)
-        self.size += len(data)
+        self.total_bytes += len(data)
 
-    def after(self, offset: int) -> list[bytes]:
+    def chunks_from(self, offset: int) -> list[bytes]:
         """What comes after an offset; raises ValueError if some of it is gone."""
-        if offset < self.kept_from:
+        if offset < self.start_offset:
             raise ValueError("the beginning is gone")
-        if offset == self.size:
+        if offset == self.total_bytes:
             return []
         out: list[bytes] = []
-        at = self.size
+        at = self.total_bytes
         for chunk in reversed(self._chunks):
             at -= len(chunk)
             if at >= offset:
@@ -130,11 +143,11 @@
         out.reverse()
         return out
 
-    def let_go(self, offset: int) -> None:
+    def discard_before(self, offset: int) -> None:
         """Forget what comes before an offset: no resend from here on."""
-        while self._chunks and self.kept_from + len(self._chunks[0]) <= offset:
-            self.kept_from += len(self._chunks.popleft())
+        while self._chunks and self.start_offset + len(self._chunks[0]) <= offset:
+            self.start_offset += len(self._chunks.popleft())
 
     def clear(self) -> None:
         self._chunks.clear()
-        self.kept_from = self.size
+        self.start_offset = self.total_bytes
--- a/pulleyroute/grpc/messages.py
+++ b/pulleyroute/grpc/messages.py
@@ -13,23 +13,23 @@
 
 from google.protobuf import descriptor_pb2, descriptor_pool, message, message_factory
 
-from pulleyroute.grpc.head import one
+from pulleyroute.grpc.head import first_value
 from pulleyroute.interface import LoadReport
 from pulleyroute.net.http import Headers
 
 _DOUBLE, _STRING, _INT32, _MESSAGE = 1, 9, 5, 11
 
 
-def _types() -> tuple[Any, Any, Any]:
+def _build_message_types() -> tuple[Any, Any, Any]:
     file = descriptor_pb2.FileDescriptorProto(
         name="pulleyroute/messages.proto", package="pulleyroute", syntax="proto3"
     )
 
     def add(name: str, fields: list[tuple[str, int, int]]) -> Any:
-        kind = file.message_type.add(name=name)
-        for field, number, of in fields:
-            kind.field.add(name=field, number=number, type=of, label=1)
-        return kind
+        message_type = file.message_type.add(name=name)
+        for field_name, number, field_type in fields:
+            message_type.field.add(name=field_name, number=number, type=field_type, label=1)
+        return message_type
 
     add("HealthCheckRequest", [("service", 1, _STRING)])
     add("HealthCheckResponse", [("status", 1, _INT32)])
@@ -57,15 +57,17 @@
         )
     pool = descriptor_pool.DescriptorPool()
     pool.Add(file) if hasattr(pool, "Add") else pool.AddSerializedFile(file.SerializeToString())
-    found = [
+    descriptors = [
         pool.FindMessageTypeByName(f"pulleyroute.{name}")
         for name in ("HealthCheckRequest", "HealthCheckResponse", "OrcaLoadReport")
     ]
-    asked, answered, load = (message_factory.GetMessageClass(each) for each in found)
-    return asked, answered, load
+    request_class, response_class, report_class = (
+        message_factory.GetMessageClass(each) for each in descriptors
+    )
+    return request_class, response_class, report_class
 
 
-HealthRequest, HealthResponse, OrcaReport = _types()
+HealthRequest, HealthResponse, OrcaReport = _build_message_types()
 SERVING, NOT_SERVING, SERVICE_UNKNOWN = 1, 2, 3
 
 
@@ -74,11 +76,11 @@
     return b"\0" + len(data).to_bytes(4, "big") + data
 
 
-def health_answer(status: int) -> bytes:
+def encode_health_response(status: int) -> bytes:
     return framed(HealthResponse(status=status).SerializeToString())
 
 
-def health_service(data: bytes) -> str | None:
+def decode_health_request(data: bytes) -> str | None:
     """The service that a framed `HealthCheckRequest` asks for; None if it can't be read."""
     if len(data) < 5 or data[0] or int.from_bytes(data[1:5], "big") != len(data) - 5:
         return None
@@ -88,7 +90,7 @@
         return None
 
 
-def read_load(trailers: Headers, slots: float) -> LoadReport | None:
+def parse_load_report(trailers: Headers, slots: float) -> LoadReport | None:
     """The load report in an answer's trailers, or None.
 
     `endpoint-load-metrics-bin` holds a protobuf in base64; `endpoint-load-metrics` the same as `TEXT
@@ -96,11 +98,11 @@
     named metrics `free_slots`, `queue` and `inflight` go before it.
     """
     values: dict[str, float] = {}
-    data = one(trailers, b"endpoint-load-metrics-bin")
-    text = one(trailers, b"endpoint-load-metrics")
+    data = first_value(trailers, b"endpoint-load-metrics-bin")
+    text = first_value(trailers, b"endpoint-load-metrics")
     try:
         if data is not None:
-            values = _from_message(OrcaReport.FromString(_decoded(data)))
+            values = _report_values(OrcaReport.FromString(_decode_base64(data)))
         elif text is not None and text[:4] == b"TEXT":
             pairs = (pair.partition("=") for pair in text[4:].decode().split(",") if pair.strip())
             values = {name.strip(): float(value) for name, _, value in pairs}
@@ -133,11 +135,11 @@
     return report
 
 
-def _decoded(data: bytes) -> bytes:
+def _decode_base64(data: bytes) -> bytes:
     return binascii.a2b_base64(data + b"=" * (-len(data) % 4))
 
 
-def _from_message(report: Any) -> dict[str, float]:
+def _report_values(report: Any) -> dict[str, float]:
     values = {
         name: getattr(report, name)
         for name in ("cpu_utilization", "mem_utilization", "rps_fractional", "eps", "application_utilization")
--- a/pulleyroute/grpc/meter.py
+++ b/pulleyroute/grpc/meter.py
@@ -6,44 +6,44 @@
 from __future__ import annotations
 
 
-class Meter:
+class MessageMeter:
     """One direction of one call. `most`: bytes that a message may have; 0 for no limit."""
 
-    __slots__ = ("_left", "_most", "_prefix", "count")
+    __slots__ = ("_max_bytes", "_prefix", "_remaining", "message_count")
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._left = 0  # of the message that has begun
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes
+        self._remaining = 0  # of the message that has begun
         self._prefix = b""
-        self.count = 0  # messages begun
+        self.message_count = 0  # messages begun
 
     def feed(self, data: bytes) -> bool:
         """Take the next bytes; False once a message is larger than it may be."""
-        at, size = 0, len(data)
+        position, size = 0, len(data)
         while True:
-            if self._left:
-                step = min(self._left, size - at)
-                self._left -= step
-                at += step
-            if at >= size:
+            if self._remaining:
+                step = min(self._remaining, size - position)
+                self._remaining -= step
+                position += step
+            if position >= size:
                 return True
-            if self._prefix or size - at < 5:
+            if self._prefix or size - position < 5:
                 need = 5 - len(self._prefix)
-                self._prefix += data[at : at + need]
-                at += need
+                self._prefix += data[position : position + need]
+                position += need
                 if len(self._prefix) < 5:
                     return True
                 length = int.from_bytes(self._prefix[1:], "big")
                 self._prefix = b""
             else:
-                length = int.from_bytes(data[at + 1 : at + 5], "big")
-                at += 5
-            if self._most and length > self._most:
+                length = int.from_bytes(data[position + 1 : position + 5], "big")
+                position += 5
+            if self._max_bytes and length > self._max_bytes:
                 return False
-            self._left = length
-            self.count += 1
+            self._remaining = length
+            self.message_count += 1
 
     @property
-    def between(self) -> bool:
+    def at_boundary(self) -> bool:
         """Whether the bytes so far end with a whole message."""
-        return not self._left and not self._prefix
+        return not self._remaining and not self._prefix
--- a/pulleyroute/grpc/routes.py
+++ b/pulleyroute/grpc/routes.py
@@ -42,13 +42,13 @@
                 raise ValueError(problem)
             service = match.service.encode()
             if match.prefix is not None:
-                _put(prefixes, match.prefix.encode(), target, f"prefix {match.prefix!r}")
+                _add_unique(prefixes, match.prefix.encode(), target, f"prefix {match.prefix!r}")
             elif match.method:
-                _put(
+                _add_unique(
                     self._methods, (service, match.method.encode()), target, f"{match.service}/{match.method}"
                 )
             else:
-                _put(self._services, service, target, match.service)
+                _add_unique(self._services, service, target, match.service)
         self._prefixes = sorted(prefixes.items(), key=lambda item: -len(item[0]))
 
     def find(self, service: bytes, method: bytes) -> T | None:
@@ -74,7 +74,7 @@
 K = TypeVar("K")
 
 
-def _put(table: dict[K, T], key: K, target: T, name: str) -> None:
+def _add_unique(table: dict[K, T], key: K, target: T, name: str) -> None:
     if key in table:
         raise ValueError(f"two routes for {name}")
     table[key] = target
--- a/pulleyroute/grpc/status.py
+++ b/pulleyroute/grpc/status.py
@@ -35,47 +35,47 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Verdict:
+class Classification:
     """What a status that an instance answered says of its call."""
 
     ending: Ending
     outcome: Outcome  # what the decisions hear of the instance
-    ran: bool  # it may have run
-    again: bool = False  # worth another instance, where the class allows
+    may_have_run: bool  # it may have run
+    retryable: bool = False  # worth another instance, where the class allows
 
 
 # An instance's word on the request itself is served: it reaches the client as it is, and no other instance
 # would say otherwise. Which codes blame the server follows OpenTelemetry's semantic conventions for gRPC
 # servers.
-_WORD = Verdict(Ending.SERVED, Outcome.OK, True)
-_FAULT = Verdict(Ending.FAILED, Outcome.ERROR, True)
-_BUSY = Verdict(Ending.FAILED, Outcome.ERROR, True, again=True)
-TABLE: dict[Status, Verdict] = {
-    Status.OK: _WORD,
-    Status.CANCELLED: Verdict(Ending.FAILED, Outcome.CANCELLED, True),
-    Status.UNKNOWN: _FAULT,
-    Status.INVALID_ARGUMENT: _WORD,
-    Status.DEADLINE_EXCEEDED: Verdict(Ending.FAILED, Outcome.TIMEOUT, True),
-    Status.NOT_FOUND: _WORD,
-    Status.ALREADY_EXISTS: _WORD,
-    Status.PERMISSION_DENIED: _WORD,
+_SERVED = Classification(Ending.SERVED, Outcome.OK, True)
+_SERVER_ERROR = Classification(Ending.FAILED, Outcome.ERROR, True)
+_UNAVAILABLE = Classification(Ending.FAILED, Outcome.ERROR, True, retryable=True)
+CLASSIFICATIONS: dict[Status, Classification] = {
+    Status.OK: _SERVED,
+    Status.CANCELLED: Classification(Ending.FAILED, Outcome.CANCELLED, True),
+    Status.UNKNOWN: _SERVER_ERROR,
+    Status.INVALID_ARGUMENT: _SERVED,
+    Status.DEADLINE_EXCEEDED: Classification(Ending.FAILED, Outcome.TIMEOUT, True),
+    Status.NOT_FOUND: _SERVED,
+    Status.ALREADY_EXISTS: _SERVED,
+    Status.PERMISSION_DENIED: _SERVED,
     # A quota, or a message too large: no other instance is likelier to take it, unless it says when to come
     # back.
-    Status.RESOURCE_EXHAUSTED: Verdict(Ending.FAILED, Outcome.CANCELLED, True),
-    Status.FAILED_PRECONDITION: _WORD,
-    Status.ABORTED: _WORD,
-    Status.OUT_OF_RANGE: _WORD,
-    Status.UNIMPLEMENTED: Verdict(Ending.FAILED, Outcome.CANCELLED, False),
-    Status.INTERNAL: _FAULT,
-    Status.UNAVAILABLE: _BUSY,
-    Status.DATA_LOSS: _FAULT,
-    Status.UNAUTHENTICATED: _WORD,
+    Status.RESOURCE_EXHAUSTED: Classification(Ending.FAILED, Outcome.CANCELLED, True),
+    Status.FAILED_PRECONDITION: _SERVED,
+    Status.ABORTED: _SERVED,
+    Status.OUT_OF_RANGE: _SERVED,
+    Status.UNIMPLEMENTED: Classification(Ending.FAILED, Outcome.CANCELLED, False),
+    Status.INTERNAL: _SERVER_ERROR,
+    Status.UNAVAILABLE: _UNAVAILABLE,
+    Status.DATA_LOSS: _SERVER_ERROR,
+    Status.UNAUTHENTICATED: _SERVED,
 }
 # A marked nack: UNAVAILABLE or RESOURCE_EXHAUSTED with no headers before it and `x-turned-away: 1` beside it.
-NACK = Verdict(Ending.REFUSED, Outcome.FULL, False, again=True)
-MAY_NACK = (Status.UNAVAILABLE, Status.RESOURCE_EXHAUSTED)
+NACK = Classification(Ending.REFUSED, Outcome.FULL, False, retryable=True)
+NACK_STATUSES = (Status.UNAVAILABLE, Status.RESOURCE_EXHAUSTED)
 
-_FROM_HTTP = {
+_STATUS_BY_HTTP_STATUS = {
     400: Status.INTERNAL,
     401: Status.UNAUTHENTICATED,
     403: Status.PERMISSION_DENIED,
@@ -85,7 +85,7 @@
     503: Status.UNAVAILABLE,
     504: Status.UNAVAILABLE,
 }
-_FROM_CODE = {
+_STATUS_BY_HTTP2_CODE = {
     0x7: Status.UNAVAILABLE,  # REFUSED_STREAM
     0x8: Status.CANCELLED,  # CANCEL
     0xB: Status.RESOURCE_EXHAUSTED,  # ENHANCE_YOUR_CALM
@@ -93,20 +93,20 @@
 }
 
 
-def from_http(code: int) -> Status:
+def status_from_http(code: int) -> Status:
     """The status of an answer that carries none."""
-    return _FROM_HTTP.get(code, Status.UNKNOWN)
+    return _STATUS_BY_HTTP_STATUS.get(code, Status.UNKNOWN)
 
 
-def from_reset(code: int | None) -> Status:
+def status_from_reset(code: int | None) -> Status:
     """The status of a stream that RST_STREAM ended with this HTTP/2 code; None for a connection that
     broke."""
     if code is None:
         return Status.UNAVAILABLE
-    return _FROM_CODE.get(code, Status.INTERNAL)
+    return _STATUS_BY_HTTP2_CODE.get(code, Status.INTERNAL)
 
 
-def read_status(text: bytes) -> Status:
+def parse_status(text: bytes) -> Status:
     """The number in `grpc-status`; what is none of the 17 counts as UNKNOWN, as the specification says."""
     try:
         return Status(int(text))
@@ -114,7 +114,7 @@
         return Status.UNKNOWN
 
 
-def quote(text: str) -> bytes:
+def percent_encode(text: str) -> bytes:
     """A status message for `grpc-message`: percent-encoded UTF-8."""
     return b"".join(
         bytes((byte,)) if 0x20 <= byte <= 0x7E and byte != 0x25 else b"%%%02X" % byte
@@ -122,6 +122,6 @@
     )
 
 
-def unquote(text: bytes) -> str:
+def percent_decode(text: bytes) -> str:
     """A status message from `grpc-message`; never fails, as the specification asks."""
     return unquote_to_bytes(text).decode(errors="replace")
--- a/tests/grpc/test_calls.py
+++ b/tests/grpc/test_calls.py
@@ -9,7 +9,7 @@
 from pulleyroute.grpc import FrontLimits, Status
 from pulleyroute.grpc.call import Call
 from pulleyroute.grpc.messages import framed
-from pulleyroute.grpc.status import TABLE
+from pulleyroute.grpc.status import CLASSIFICATIONS
 from pulleyroute.net import http2
 from pulleyroute.net.http2 import Limits
 from pulleyroute.net.requests import Ending
@@ -43,7 +43,7 @@
     call = scene.call(path)
     seen = scene.arrived()
     seen.wait_for_end().only(status, ("grpc-message", "n%C3%A4h"), ("x-own", "yes"))
-    if TABLE[status].again and path == SAFE:
+    if CLASSIFICATIONS[status].retryable and path == SAFE:
         again = scene.again()
         assert again.head()["grpc-previous-rpc-attempts"] == "1" and again.peer is not seen.peer
         assert again.wait_for_end().body == framed(b"hi")
@@ -54,7 +54,7 @@
         assert call.last["x-own"] == "yes" and len(call.heads) == 1
         assert scene.untouched()
     assert scene.done()
-    served = TABLE[status].ending is Ending.SERVED
+    served = CLASSIFICATIONS[status].ending is Ending.SERVED
     assert served == (status in (0, 3, 5, 6, 7, 9, 10, 11, 16))
 
 
@@ -403,7 +403,7 @@
             call.send(b"\0" * room)
             sent += room
     assert sent <= 65_535 * 2 + 8_000
-    held = next(iter(scene.front.calls)).replay.held
+    held = next(iter(scene.front.calls)).replay.buffered_bytes
     assert held <= 65_535 + 8_000
     call.cut(8)
     assert scene.done()
@@ -484,7 +484,7 @@
     assert [call.status() for call in calls] == [0] * len(calls)
     scene.loop.skip(7 * SECOND)
     scene.loop.until(lambda: left.pull() and left.gone)
-    assert not scene.boxes["s-0"].peers[0].gone and b"s-1" not in scene.back._sites
+    assert not scene.boxes["s-0"].peers[0].gone and b"s-1" not in scene.back._instances
 
 
 def test_calls_that_have_ended_are_kept_by_nobody():
@@ -496,7 +496,7 @@
         scene.arrived().wait_for_end().answer(b"x" * 100)
         assert call.status() == 0
     scene.loop.skip(3 * SECOND)
-    assert scene.done() and not scene.front._unread
+    assert scene.done() and not scene.front._unread_responses
     gc.collect()
     assert sum(isinstance(each, Call) for each in gc.get_objects()) <= 1
 
@@ -506,8 +506,8 @@
     client = scene.client({4: 0})  # its window lets nothing through
     client.call(SAFE, timeout="2S")
     scene.arrived().wait_for_end().answer(b"x" * 100)
-    scene.loop.until(lambda: scene.front._unread)
-    (stream,) = scene.front._unread
+    scene.loop.until(lambda: scene.front._unread_responses)
+    (stream,) = scene.front._unread_responses
     scene.loop.skip(5 * SECOND)
     assert stream.open and stream.pending_bytes
     scene.loop.skip(4 * SECOND)
@@ -523,7 +523,7 @@
         call = client.call(SAFE)
         scene.arrived().wait_for_end().answer(b"")
         assert call.status() == 0
-    for connection in (*scene.front.connections, *scene.back._sites[b"s-0"].connections):
+    for connection in (*scene.front.connections, *scene.back._instances[b"s-0"].connections):
         assert len(connection._h2.streams) <= 8
 
 
--- a/tests/grpc/test_campaign.py
+++ b/tests/grpc/test_campaign.py
@@ -30,7 +30,9 @@
 
 def test_a_dispatcher_that_takes_a_reset_for_a_proof_is_caught(monkeypatch):
     monkeypatch.setattr(
-        call, "judge_break", lambda code, never: decide.Word(Outcome.FULL, Status.UNAVAILABLE, nacked=True)
+        call,
+        "classify_abort",
+        lambda code, never: decide.AttemptResult(Outcome.FULL, Status.UNAVAILABLE, nacked=True),
     )
     assert any("must never run twice" in line for line in play().broken)
 
@@ -71,7 +73,7 @@
 def test_a_dispatcher_that_shuts_out_who_turns_one_call_away_serves_worse(monkeypatch):
     """What `Calls` reports beside a nack keeps the decisions from taking the instance for one that leaves."""
     good = play().statuses[0]
-    monkeypatch.setattr(back, "QUEUED", -1e9)
+    monkeypatch.setattr(back, "NACK_QUEUE_LENGTH", -1e9)
     assert play().statuses[0] < 0.7 * good
 
 
--- a/tests/grpc/test_pure.py
+++ b/tests/grpc/test_pure.py
@@ -4,20 +4,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pulleyroute.grpc.decide import Replay, judge_break, judge_trailers, read_pushback
+from pulleyroute.grpc.decide import ReplayBuffer, classify_abort, classify_trailers, parse_pushback
 from pulleyroute.grpc.head import (
-    BadHead,
-    closing,
-    one,
-    read_head,
-    read_timeout,
+    InvalidRequestHead,
+    first_value,
+    format_timeout,
+    parse_request_head,
+    parse_timeout,
     request_headers,
-    write_timeout,
+    status_trailers,
 )
-from pulleyroute.grpc.messages import OrcaReport, framed, read_load
-from pulleyroute.grpc.meter import Meter
+from pulleyroute.grpc.messages import OrcaReport, framed, parse_load_report
+from pulleyroute.grpc.meter import MessageMeter
 from pulleyroute.grpc.routes import Match, Routes
-from pulleyroute.grpc.status import Status, from_http, from_reset, quote, read_status, unquote
+from pulleyroute.grpc.status import (
+    Status,
+    parse_status,
+    percent_decode,
+    percent_encode,
+    status_from_http,
+    status_from_reset,
+)
 from pulleyroute.interface import Outcome
 from pulleyroute.net.flood_limits import ALLOWED, FloodLimits
 from pulleyroute.net.requests import Ending
@@ -34,20 +41,20 @@
 
 @given(st.integers(0, 10**17))
 def test_a_timeout_is_never_written_longer_than_it_is_and_nearly_whole(span):
-    text = write_timeout(span)
+    text = format_timeout(span)
     assert len(text) <= 9
-    back = read_timeout(text)
+    back = parse_timeout(text)
     assert back <= span and (span >= 10**8 * 3600 * 10**6 or span - back <= max(1, span // 10**4))
 
 
 @pytest.mark.parametrize("text", [b"", b"1", b"S", b"123456789S", b"-1S", b"1.5S", b"1 S", b"1s"])
 def test_a_timeout_out_of_form_is_refused(text):
-    with pytest.raises(BadHead):
-        read_timeout(text)
+    with pytest.raises(InvalidRequestHead):
+        parse_timeout(text)
 
 
 def test_a_head_is_read_and_passed_on_without_what_belongs_to_the_hop():
-    head = read_head(
+    head = parse_request_head(
         [
             *GOOD,
             (b"x-a", b"1"),
@@ -59,7 +66,12 @@
             (b"authorization", b"secret"),
         ]
     )
-    assert (head.service, head.method, head.timeout, head.attempts) == (b"a.B", b"C", 2_000_000, 2)
+    assert (head.service, head.method, head.timeout_us, head.previous_attempts) == (
+        b"a.B",
+        b"C",
+        2_000_000,
+        2,
+    )
     out = request_headers(head, b"https", 1_500_000, 3)
     assert [(name, value) for name, value, *_ in out] == [
         (b":method", b"POST"),
@@ -89,21 +101,21 @@
     ],
 )
 def test_a_head_that_is_no_call_is_refused(change, http, status):
-    with pytest.raises(BadHead) as caught:
-        read_head([(name, change.get(name, value)) for name, value in GOOD])
-    assert (caught.value.http, caught.value.status) == (http, status)
+    with pytest.raises(InvalidRequestHead) as caught:
+        parse_request_head([(name, change.get(name, value)) for name, value in GOOD])
+    assert (caught.value.http_status, caught.value.status) == (http, status)
 
 
 @given(st.text())
 def test_a_message_survives_its_quoting(text):
-    coded = quote(text)
+    coded = percent_encode(text)
     assert all(0x20 <= byte <= 0x7E for byte in coded)
-    assert unquote(coded) == text.encode(errors="replace").decode()
+    assert percent_decode(coded) == text.encode(errors="replace").decode()
 
 
 def test_statuses_from_elsewhere():
-    assert [read_status(text) for text in (b"0", b"16", b"17", b"-1", b"x", b"")] == [0, 16, 2, 2, 2, 2]
-    assert [from_http(code) for code in (400, 401, 403, 404, 429, 502, 503, 504, 500, 302)] == [
+    assert [parse_status(text) for text in (b"0", b"16", b"17", b"-1", b"x", b"")] == [0, 16, 2, 2, 2, 2]
+    assert [status_from_http(code) for code in (400, 401, 403, 404, 429, 502, 503, 504, 500, 302)] == [
         13,
         16,
         7,
@@ -115,7 +127,7 @@
         2,
         2,
     ]
-    assert [from_reset(code) for code in (None, 0, 1, 2, 3, 5, 6, 7, 8, 9, 11, 12)] == [
+    assert [status_from_reset(code) for code in (None, 0, 1, 2, 3, 5, 6, 7, 8, 9, 11, 12)] == [
         14,
         13,
         13,
@@ -160,31 +172,31 @@
 
 @given(st.lists(st.binary(max_size=40), max_size=20), st.lists(st.integers(1, 30), min_size=1))
 def test_the_meter_counts_messages_however_they_are_cut(messages, cuts):
-    data, meter, i = b"".join(framed(message) for message in messages), Meter(40), 0
+    data, meter, i = b"".join(framed(message) for message in messages), MessageMeter(40), 0
     while data:
         size = cuts[i % len(cuts)]
         assert meter.feed(data[:size])
         data, i = data[size:], i + 1
-    assert meter.count == len(messages) and meter.between
+    assert meter.message_count == len(messages) and meter.at_boundary
 
 
 def test_the_meter_refuses_a_message_as_soon_as_its_length_is_read():
-    assert Meter(10).feed(framed(b"x" * 10)) and not Meter(10).feed(framed(b"x" * 11)[:5])
+    assert MessageMeter(10).feed(framed(b"x" * 10)) and not MessageMeter(10).feed(framed(b"x" * 11)[:5])
 
 
 @given(st.lists(st.binary(min_size=1, max_size=30), max_size=20), st.data())
 def test_a_replay_gives_back_what_came_from_any_offset_that_is_kept(chunks, data):
-    replay = Replay(50)
+    replay = ReplayBuffer(50)
     for chunk in chunks:
-        replay.add(chunk)
+        replay.append(chunk)
     whole = b"".join(chunks)
     offset = data.draw(st.integers(0, len(whole)))
-    assert b"".join(replay.after(offset)) == whole[offset:] and replay.over == (len(whole) > 50)
-    replay.let_go(offset)
-    assert replay.kept_from <= offset and b"".join(replay.after(offset)) == whole[offset:]
-    if not replay.whole:
+    assert b"".join(replay.chunks_from(offset)) == whole[offset:] and replay.over_limit == (len(whole) > 50)
+    replay.discard_before(offset)
+    assert replay.start_offset <= offset and b"".join(replay.chunks_from(offset)) == whole[offset:]
+    if not replay.complete:
         with pytest.raises(ValueError):
-            replay.after(replay.kept_from - 1)
+            replay.chunks_from(replay.start_offset - 1)
 
 
 def trailers(status, *more):
@@ -194,29 +206,35 @@
 def test_what_an_instances_word_means():
     nack = (b"x-turned-away", b"1")
     wait = (b"grpc-retry-pushback-ms", b"200")
-    free = {"committed": False, "left": 1_000_000, "unsafe": False, "last": False}
-    assert judge_trailers(200, trailers(0), **free).ending is Ending.SERVED
-    assert judge_trailers(200, trailers(13), **free).ending is Ending.FAILED
-    assert judge_trailers(200, trailers(14), **free).ending is None  # the decisions say whether again
-    assert judge_trailers(200, trailers(8), **free).ending is Ending.FAILED
-    assert judge_trailers(200, trailers(8, wait), **free) == judge_trailers(200, trailers(8, wait), **free)
-    assert judge_trailers(200, trailers(8, wait), **free).hold == 200_000
-    marked = judge_trailers(200, trailers(14, nack), **free | {"unsafe": True})
+    free = {"committed": False, "time_left": 1_000_000, "unsafe": False, "last_attempt": False}
+    assert classify_trailers(200, trailers(0), **free).ending is Ending.SERVED
+    assert classify_trailers(200, trailers(13), **free).ending is Ending.FAILED
+    assert classify_trailers(200, trailers(14), **free).ending is None  # the decisions say whether again
+    assert classify_trailers(200, trailers(8), **free).ending is Ending.FAILED
+    assert classify_trailers(200, trailers(8, wait), **free) == classify_trailers(
+        200, trailers(8, wait), **free
+    )
+    assert classify_trailers(200, trailers(8, wait), **free).delay_us == 200_000
+    marked = classify_trailers(200, trailers(14, nack), **free | {"unsafe": True})
     assert marked.outcome is Outcome.FULL and marked.nacked and marked.ending is None
-    assert not judge_trailers(200, trailers(5, nack), **free).nacked
-    committed = judge_trailers(200, trailers(14, nack, wait), **free | {"committed": True})
-    assert committed.ending is Ending.FAILED and not committed.nacked and not committed.hold
-    assert judge_trailers(200, trailers(14, wait), **free | {"unsafe": True}).hold == 0  # it goes out no more
-    assert judge_trailers(200, trailers(14, wait), **free | {"last": True}).hold == 0
-    assert judge_trailers(200, trailers(14, wait), **free | {"left": 100_000}).ending is Ending.FAILED
-    assert judge_trailers(503, [], **free).status is Status.UNAVAILABLE
-    assert judge_trailers(200, [], **free).status is Status.INTERNAL
-    assert judge_break(7, True).outcome is Outcome.FULL and judge_break(None, True).outcome is Outcome.MOOT
-    assert judge_break(None, False).outcome is Outcome.RESET
-    assert judge_break(2, False).outcome is Outcome.ERROR
+    assert not classify_trailers(200, trailers(5, nack), **free).nacked
+    committed = classify_trailers(200, trailers(14, nack, wait), **free | {"committed": True})
+    assert committed.ending is Ending.FAILED and not committed.nacked and not committed.delay_us
+    assert (
+        classify_trailers(200, trailers(14, wait), **free | {"unsafe": True}).delay_us == 0
+    )  # it goes out no more
+    assert classify_trailers(200, trailers(14, wait), **free | {"last_attempt": True}).delay_us == 0
+    assert classify_trailers(200, trailers(14, wait), **free | {"time_left": 100_000}).ending is Ending.FAILED
+    assert classify_trailers(503, [], **free).status is Status.UNAVAILABLE
+    assert classify_trailers(200, [], **free).status is Status.INTERNAL
+    assert (
+        classify_abort(7, True).outcome is Outcome.FULL and classify_abort(None, True).outcome is Outcome.MOOT
+    )
+    assert classify_abort(None, False).outcome is Outcome.RESET
+    assert classify_abort(2, False).outcome is Outcome.ERROR
     texts = (b"0", b"5", b"-1", b"", b"1.5")
-    assert [read_pushback([(b"grpc-retry-pushback-ms", text)]) for text in texts] == [0, 5000, -1, -1, -1]
-    assert read_pushback([]) is None
+    assert [parse_pushback([(b"grpc-retry-pushback-ms", text)]) for text in texts] == [0, 5000, -1, -1, -1]
+    assert parse_pushback([]) is None
 
 
 def test_load_reports_in_all_three_forms():
@@ -230,7 +248,7 @@
         (b"endpoint-load-metrics", b"TEXT application_utilization=0.25,queue=2"),
         (b"endpoint-load-metrics", b'JSON {"application_utilization":0.25,"named_metrics":{"queue":2}}'),
     ):
-        load = read_load([(name, value)], 8)
+        load = parse_load_report([(name, value)], 8)
         assert load.free_slots == 6 and load.queued == 2
     for name, value in (
         (b"endpoint-load-metrics-bin", b"!!"),
@@ -239,7 +257,7 @@
         (b"endpoint-load-metrics", b"TEXT cpu_utilization=nan"),
         (b"other", b""),
     ):
-        assert read_load([(name, value)], 8) is None
+        assert parse_load_report([(name, value)], 8) is None
 
 
 @pytest.mark.parametrize("kind", list(ALLOWED))
@@ -250,5 +268,7 @@
 
 
 def test_advice_is_rounded_up_so_that_nobody_comes_early():
-    assert one(closing(Status.UNAVAILABLE, "x", 1), b"grpc-retry-pushback-ms") == b"1"
-    assert one(closing(Status.UNAVAILABLE, "x", 1_500_001), b"grpc-retry-pushback-ms") == b"1501"
+    assert first_value(status_trailers(Status.UNAVAILABLE, "x", 1), b"grpc-retry-pushback-ms") == b"1"
+    assert (
+        first_value(status_trailers(Status.UNAVAILABLE, "x", 1_500_001), b"grpc-retry-pushback-ms") == b"1501"
+    )
