--- a/pulleyroute/grpc/__init__.py
+++ b/pulleyroute/grpc/__init__.py
@@ -1,7 +1,7 @@
-"""gRPC between clients and instances: calls pass as they are, the decisions are the dispatcher's own.
+"""The gRPC proxy: forwards calls unchanged to the instances that the dispatcher chooses.
 
-`Front` accepts client connections, `Calls` holds those to instances; both stand on `net.http2`.
-Needs the extra `grpc` (h2, protobuf).
+`Front` accepts connections from clients, `GrpcTransport` manages those to instances. Both are built on
+`net.http2`. Requires the extra `grpc` (h2, protobuf).
 """
 
 from pulleyroute.grpc.back import GrpcTransport
--- a/pulleyroute/grpc/back.py
+++ b/pulleyroute/grpc/back.py
@@ -1,5 +1,4 @@
-"""Connections to gRPC instances: attempts on their streams, giving them up, and what is known of their
-load."""
+"""Connections to gRPC instances: sends and cancels attempts, and estimates the load of the instances."""
 
 from __future__ import annotations
 
@@ -24,26 +23,30 @@
 from pulleyroute.net.metrics import Metrics
 from pulleyroute.net.tls import Tls
 
-DEFAULT_CONNECT_TIMEOUT_US = 1_000_000  # where the settings name no limit; up to the peer's first SETTINGS
-MAX_CONNECTIONS = 4  # to one instance at most, where one has no room for another stream
-NACK_QUEUE_LENGTH = 4.0  # calls that are held to wait at an instance that has just turned one away
-SWEEP_INTERVAL_US = 5_000_000  # between two looks for connections to instances that have left
-DEFAULT_SLOTS = 100.0  # calls that an instance is held to take at once, until it says otherwise
+DEFAULT_CONNECT_TIMEOUT_US = 1_000_000  # includes the wait for the peer's first SETTINGS frame
+MAX_CONNECTIONS = 4  # to one instance; another is opened only when none has capacity for a stream
+NACK_QUEUE_LENGTH = 4.0  # queued calls reported for an instance that has just rejected one
+SWEEP_INTERVAL_US = 5_000_000  # between two searches for connections to instances that have left
+DEFAULT_SLOTS = 100.0  # concurrent calls assumed as an instance's capacity unless it reports its load
 
 
 @dataclass(slots=True, eq=False)
 class InstanceState:
-    """One instance as seen from here."""
+    """The connections of this process to one instance, and its attempts there."""
 
     connections: list[Http2Connection] = field(default_factory=list)
-    waiting: dict[Attempt, None] = field(default_factory=dict)
+    waiting: dict[Attempt, None] = field(default_factory=dict)  # for a connection, in order
     connect_task: Task | None = None
-    unreachable: bool = False  # the last connection did not come up
-    open_attempts: int = 0  # attempts there
+    unreachable: bool = False  # the last attempt to connect failed
+    open_attempts: int = 0  # attempts not ended, with or without a stream yet
 
 
 class GrpcTransport:
-    """Owns every connection to a pool's instances and its attempts. A `requests.InstanceTransport`."""
+    """The `requests.InstanceTransport` for gRPC: owns a pool's connections to instances and its attempts.
+
+    `slots` is the number of concurrent calls that an instance is assumed to accept; `message_bytes` limits
+    each message of a response, 0 for no limit. `context` and `server_name` are for TLS.
+    """
 
     def __init__(
         self,
@@ -69,17 +72,17 @@
         self.rejected: RequestRejected = lambda attempt: None
         self.probed: ProbeEnded = lambda instance, outcome, took, report: None
         self._sweeping = False
-        self.host: Host | None = None  # set once it is made
+        self.host: Host | None = None  # set by the owner, once the host exists
 
     @property
     def open_attempts(self) -> int:
-        """Attempts out."""
+        """The number of attempts that have not ended."""
         return len(self._upstreams)
 
     # Attempts
 
     def attempt(self, attempt: Attempt) -> None:
-        """Send a call out; its outcome is told to the host."""
+        """Send an attempt on a connection that has capacity, or on a new one; `ended` reports its outcome."""
         call = attempt.call
         assert isinstance(call, Call)
         state = self._instances.setdefault(attempt.instance, InstanceState())
@@ -91,7 +94,7 @@
             self._open_stream(connection, upstream)
             return
         if len([c for c in state.connections if not c.draining]) >= MAX_CONNECTIONS:
-            attempt.nacked = True  # it was not sent: the instance lets no more streams in
+            attempt.nacked = True  # not sent: the instance accepts no more streams
             self._remove_attempt(attempt)
             self.ended(attempt, Outcome.FULL, self._estimate_load(attempt.instance))
             return
@@ -100,7 +103,7 @@
 
     def _open_stream(self, connection: Http2Connection, upstream: Upstream) -> None:
         attempt, call = upstream.attempt, upstream.call
-        if not self.gate(attempt):  # what allowed it may have passed while the connection came up
+        if not self.gate(attempt):  # may no longer be allowed after the wait for the connection
             self._remove_attempt(attempt)
             return
         time_left = attempt.timeout_at - self._loop.now()
@@ -110,9 +113,9 @@
             time_left,
             call.head.previous_attempts + attempt.index,
         )
-        # a connection is many calls': its end says nothing of this one's instance
+        # Many calls share the connection, so its end is no evidence about this call's instance.
         attempt.reused_connection = True
-        attempt.written = True  # from its head on it may run
+        attempt.written = True  # the instance may run the call as soon as it has the headers
         try:
             upstream.stream = connection.request(headers, upstream)
             self._metrics.sends += 1
@@ -134,19 +137,19 @@
         return upstream
 
     def _attempt_finished(self, upstream: Upstream, result: AttemptResult, trailers: Headers) -> None:
-        """An instance's last word on an attempt; it may have asked to be left alone for a while first."""
+        """Settle a finished attempt, after the pushback delay if the instance asked for one."""
         attempt = upstream.attempt
         stream = upstream.stream
         if stream is not None and stream.open and not stream.local_closed:
-            # An answer before the request's end: nobody reads the rest. Not before this turn's events are
-            # over.
+            # The response ended before the request, so the instance reads no more of it. The reset waits
+            # until the events of this loop iteration have been handled.
             self._loop.call_at(self._loop.now(), lambda: stream.reset(Code.NO_ERROR))
         self._remove_attempt(attempt)
         attempt.nacked = attempt.nacked or result.nacked
         report = parse_load_report(trailers, self.slots) or self._estimate_load(attempt.instance)
         if result.outcome is Outcome.FULL:
-            # Guards an instance that turns one away against being shut out for seconds: what is counted here
-            # would show room, and room shown but not given is how the decisions know one that leaves.
+            # The local count would show free slots. The decision module takes an instance that shows free
+            # slots but rejects calls for one that is leaving, and sends it no calls for seconds.
             in_hand = report.in_hand or 0.0
             report = LoadReport(free_slots=0.0, in_hand=in_hand, queued=in_hand + NACK_QUEUE_LENGTH)
         if result.delay_us:
@@ -161,6 +164,7 @@
             self.host.settle(attempt, result.outcome, report, ending=result.ending)
 
     def give_up(self, attempt: Attempt, given: Callable[[], None]) -> None:
+        """Cancel an attempt's stream, then call `given`."""
         upstream = self._remove_attempt(attempt)
         if upstream is not None:
             upstream.give_up()
@@ -169,9 +173,9 @@
     # Connections
 
     def _sweep(self) -> None:
-        """Let go of connections to instances that have left, once nothing runs there.
+        """Close the connections to instances that have left, once no attempt is open there.
 
-        Guards the descriptors where instances come and go: the connections would stay open for ever.
+        They would otherwise stay open for ever, and use up the descriptors where instances come and go.
         """
         for instance, state in list(self._instances.items()):
             if not self._discovery.active(instance) and not state.open_attempts:
@@ -191,7 +195,7 @@
             state.connect_task.start()
 
     def _establish_connection(self, instance: WorkerId, state: InstanceState) -> Coroutine[None]:
-        """Bring a connection up to the peer's SETTINGS; then let what waits for it go out."""
+        """Open a connection, wait for the peer's SETTINGS, then send the attempts that wait for it."""
         deadline = self._loop.now() + (self._settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_US)
         connection: Http2Connection | None = None
         try:
@@ -217,17 +221,17 @@
             connection.start()
             while not connection.ready and not connection.closed:
                 if self._loop.now() >= deadline:
-                    raise ConnectionFailed("no settings in time")
+                    raise ConnectionFailed("no SETTINGS frame before the deadline")
                 yield Wait(until=deadline)
             if connection.closed:
-                raise ConnectionFailed("it ended before its settings came")
+                raise ConnectionFailed("connection closed before the SETTINGS frame arrived")
         except (ConnectionFailed, ConnectionLimitReached, DeadlineExceeded) as exc:
             logger.bind(event="instance.unreachable", instance=instance.decode()).warning(
-                "instance {}: could not connect: {}", instance.decode(), exc or "not up in time"
+                "instance {}: could not connect: {}", instance.decode(), exc or "deadline exceeded"
             )
             if connection is not None:
-                connection.close("no use")
-            # Guards the instance: descriptors that ran out here are no fault of its.
+                connection.close("could not be established")
+            # A lack of file descriptors in this process must not count against the instance.
             limit_reached = isinstance(exc, ConnectionLimitReached)
             state.unreachable = not limit_reached
             waiting, state.waiting = list(state.waiting), {}
@@ -247,7 +251,7 @@
             del state.waiting[attempt]
             self._open_stream(connection, self._upstreams[attempt])
         if state.waiting:
-            # Their turn comes on another connection, or they are told that there is no room.
+            # These attempts need another connection, or end as rejected if no more may be opened.
             waiting, state.waiting = list(state.waiting), {}
             for attempt in waiting:
                 self._upstreams.pop(attempt)
@@ -266,13 +270,14 @@
         return closed
 
     def close_idle(self, instance: WorkerId) -> None:
+        """Close the connections to an instance that carry no stream."""
         state = self._instances.get(instance)
         for connection in list(state.connections) if state is not None else []:
             if not len(connection):
                 connection.close("idle")
 
     def close(self) -> None:
-        """End every connection: the pool is not used any more."""
+        """Close every connection, because the pool is no longer used."""
         for state in self._instances.values():
             for connection in list(state.connections):
                 connection.close("the pool is closed")
@@ -280,17 +285,21 @@
     # Load
 
     def _estimate_load(self, instance: WorkerId) -> LoadReport:
-        """What is known without a word of the instance: own calls there against its slots."""
+        """Return the load as seen from this process: its own open attempts against the assumed slots."""
         state = self._instances.get(instance)
         open_attempts = state.open_attempts if state is not None else 0
         return LoadReport(free_slots=max(0.0, self.slots - open_attempts), in_hand=float(open_attempts))
 
     def probe(self, instance: WorkerId) -> None:
-        """Costs the instance nothing while its connections stand; else it is whether one comes up."""
+        """Report a probe's outcome: the local load estimate, or whether a connection can be established.
+
+        The instance is contacted only if the last attempt to connect failed and no connection is open.
+        """
         state = self._instances.setdefault(instance, InstanceState())
         if not state.unreachable or state.connections:
-            # At once, so that a burst right after the start finds room: without a word of an instance the
-            # decisions give it one call. The host keeps it until the event in hand is over.
+            # Reported at once, so that a burst right after the start finds capacity: the decision module
+            # sends only one call to an instance whose load is unknown. The host queues the event until the
+            # current one has been handled.
             self.probed(instance, Outcome.OK, 0, self._estimate_load(instance))
         else:
             self._loop.spawn(self._probe_by_connecting(instance, state), "probe")
