--- a/pulleyroute/grpc/decide.py
+++ b/pulleyroute/grpc/decide.py
@@ -1,8 +1,8 @@
-"""What an instance's word on a call means, and how much of a request is kept for a resend. Pure: no I/O, no
-clock.
+"""Interprets how an attempt ended, and buffers a request for retries. Pure: no I/O, no clock.
 
-Which instance gets a call, whether it goes out again and when is `rules.py`'s; this module tells it what
-happened. Source: gRFC A6, "gRPC Retry Design": commit points, pushback, transparent retries.
+`rules.py` decides which instance gets a call, and whether and when the call is retried; this module provides
+the outcome on which it decides. Source: gRFC A6, "gRPC Retry Design": commit points, pushback, transparent
+retries.
 """
 
 from __future__ import annotations
@@ -28,11 +28,12 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptResult:
-    """What one attempt came to.
+    """The result of one attempt.
 
-    `ending` is set where the call ends with it whatever the class; `hold` is how many microseconds the
-    instance asked to be left alone before the decisions may hear of it; `status` is what the client is told
-    if it ends here.
+    `ending` is set if the call ends with this attempt, whatever its class allows. `delay_us` is the pushback
+    that the instance asked for, in microseconds: the outcome must not reach the decision module before.
+    `status` is the client's status if the call ends with this attempt. `nacked` is True if the instance has
+    surely not run the call.
     """
 
     outcome: Outcome
@@ -43,8 +44,10 @@
 
 
 def parse_pushback(trailers: Headers) -> int | None:
-    """`grpc-retry-pushback-ms` in microseconds: None where absent, -1 for "do not retry" or anything
-    unreadable."""
+    """Return `grpc-retry-pushback-ms` in microseconds, or None if it is absent.
+
+    Returns -1 for a negative value, which means "do not retry", and for anything unreadable.
+    """
     value = first_value(trailers, b"grpc-retry-pushback-ms")
     if value is None:
         return None
@@ -54,15 +57,16 @@
 def classify_trailers(
     http_status: int, trailers: Headers, committed: bool, time_left: int, unsafe: bool, last_attempt: bool
 ) -> AttemptResult:
-    """An attempt that ended with trailers, or with a head alone.
+    """Classify an attempt that ended with trailers, or with a trailers-only response.
 
-    `committed`: the client has had headers of it; `left`: microseconds until the call's deadline; `unsafe`:
-    its class must never run twice; `last`: no attempt is left.
+    `committed`: the client has received this attempt's headers; `time_left`: microseconds until the
+    attempt's deadline; `unsafe`: the call's class must never run twice; `last_attempt`: no further attempt is
+    allowed.
     """
     text = first_value(trailers, b"grpc-status")
     status = parse_status(text) if text is not None else status_from_http(http_status)
     if text is None and http_status == 200:
-        status = Status.INTERNAL  # "gRPC over HTTP2": the trailers must carry a status
+        status = Status.INTERNAL  # "gRPC over HTTP2": the trailers must contain a status
     marked = not committed and status in NACK_STATUSES and first_value(trailers, b"x-turned-away") == b"1"
     classification: Classification = NACK if marked else CLASSIFICATIONS[status]
     pushback = parse_pushback(trailers)
@@ -72,30 +76,29 @@
     if committed or not retryable:
         return AttemptResult(classification.outcome, status, classification.ending)
     if last_attempt or (unsafe and not marked):
-        return AttemptResult(
-            classification.outcome, status, nacked=marked
-        )  # it goes out no more: nothing to wait for
+        # The call is not sent again, so a pushback delay has no purpose.
+        return AttemptResult(classification.outcome, status, nacked=marked)
     if pushback is not None and (pushback < 0 or pushback >= time_left):
-        # gRFC A6: a negative value forbids the retry; one past the deadline does so in effect, and whoever
-        # has been given up is answered at once.
+        # gRFC A6: a negative value forbids the retry. A value past the deadline has the same effect, so the
+        # client is answered at once.
         return AttemptResult(classification.outcome, status, classification.ending, nacked=marked)
     return AttemptResult(classification.outcome, status, delay_us=pushback or 0, nacked=marked)
 
 
 def classify_abort(code: int | None, never_ran: bool) -> AttemptResult:
-    """An attempt whose stream was reset with an HTTP/2 code, or whose connection broke (None)."""
+    """Classify an attempt whose stream was reset with an HTTP/2 code, or whose connection broke (None)."""
     status = status_from_reset(code)
     if never_ran:
-        # gRFC A6, transparent retries: REFUSED_STREAM, or above a GOAWAY's last id, which says nothing of
-        # load.
+        # gRFC A6, transparent retries: the stream was refused with REFUSED_STREAM, or its id is above the
+        # last stream id of a GOAWAY. The latter says nothing about the instance's load.
         return AttemptResult(Outcome.MOOT if code is None else Outcome.FULL, status, nacked=True)
     return AttemptResult(Outcome.RESET if code is None else Outcome.ERROR, status)
 
 
 class ReplayBuffer:
-    """A request's bytes: those that a resend would need, and those not yet handed to the one attempt left.
+    """The buffered bytes of a request: those that a retry needs, and those not yet sent by the last attempt.
 
-    `most` bounds what is kept for a resend, in bytes. Offsets count from the request's first byte.
+    `max_bytes` limits the bytes kept for a retry. Offsets count from the request's first byte.
     """
 
     __slots__ = ("_chunks", "ended", "max_bytes", "start_offset", "total_bytes")
@@ -103,51 +106,55 @@
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
         self._chunks: deque[bytes] = deque()
-        self.start_offset = 0  # bytes before it are gone: committed
-        self.total_bytes = 0  # bytes so far, kept or not
-        self.ended = False
+        self.start_offset = 0  # the bytes before it have been discarded; above 0 the request is committed
+        self.total_bytes = 0  # received so far, including those discarded
+        self.ended = False  # whether the client has ended the request
 
     @property
     def buffered_bytes(self) -> int:
+        """The number of bytes in the buffer."""
         return self.total_bytes - self.start_offset
 
     @property
     def complete(self) -> bool:
+        """Whether no byte has been discarded, so that the request can be retried."""
         return self.start_offset == 0
 
     @property
     def over_limit(self) -> bool:
-        """More than may be kept for a resend."""
+        """Whether the buffer holds more bytes than may be kept for a retry."""
         return self.buffered_bytes > self.max_bytes
 
     def append(self, data: bytes) -> None:
+        """Add the next bytes of the request."""
         self._chunks.append(data)
         self.total_bytes += len(data)
 
     def chunks_from(self, offset: int) -> list[bytes]:
-        """What comes after an offset; raises ValueError if some of it is gone."""
+        """Return the bytes from an offset on; raises ValueError if some of them have been discarded."""
         if offset < self.start_offset:
-            raise ValueError("the beginning is gone")
+            raise ValueError("some of the requested bytes have been discarded")
         if offset == self.total_bytes:
             return []
-        out: list[bytes] = []
-        at = self.total_bytes
+        chunks: list[bytes] = []
+        position = self.total_bytes
         for chunk in reversed(self._chunks):
-            at -= len(chunk)
-            if at >= offset:
-                out.append(chunk)
+            position -= len(chunk)
+            if position >= offset:
+                chunks.append(chunk)
             else:
-                if at + len(chunk) > offset:
-                    out.append(chunk[offset - at :])
+                if position + len(chunk) > offset:
+                    chunks.append(chunk[offset - position :])
                 break
-        out.reverse()
-        return out
+        chunks.reverse()
+        return chunks
 
     def discard_before(self, offset: int) -> None:
-        """Forget what comes before an offset: no resend from here on."""
+        """Discard the chunks that end before an offset; the request can't be retried from then on."""
         while self._chunks and self.start_offset + len(self._chunks[0]) <= offset:
             self.start_offset += len(self._chunks.popleft())
 
     def clear(self) -> None:
+        """Discard every byte."""
         self._chunks.clear()
         self.start_offset = self.total_bytes
