--- a/pulleyroute/grpc/status.py
+++ b/pulleyroute/grpc/status.py
@@ -1,7 +1,7 @@
-"""gRPC's status codes and what each says of a call: served, refused or failed, and whether it has run. Pure.
+"""The status codes of gRPC, and what each means for a call: its ending, and whether it may have run. Pure.
 
-Codes and the maps from HTTP and HTTP/2 are from the gRPC documents "Status codes and their use in gRPC",
-"gRPC over HTTP2" and "HTTP to gRPC Status Code Mapping".
+The codes and the mappings from HTTP and HTTP/2 are those of the gRPC documents "Status codes and their use in
+gRPC", "gRPC over HTTP2" and "HTTP to gRPC Status Code Mapping".
 """
 
 from __future__ import annotations
@@ -15,6 +15,8 @@
 
 
 class Status(IntEnum):
+    """The status codes of gRPC."""
+
     OK = 0
     CANCELLED = 1
     UNKNOWN = 2
@@ -36,17 +38,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Classification:
-    """What a status that an instance answered says of its call."""
+    """What the status in an instance's response means for the call."""
 
     ending: Ending
-    outcome: Outcome  # what the decisions hear of the instance
-    may_have_run: bool  # it may have run
-    retryable: bool = False  # worth another instance, where the class allows
+    outcome: Outcome  # reported to the decision module
+    may_have_run: bool
+    retryable: bool = False  # on another instance, if the call's class allows it
 
 
-# An instance's word on the request itself is served: it reaches the client as it is, and no other instance
-# would say otherwise. Which codes blame the server follows OpenTelemetry's semantic conventions for gRPC
-# servers.
+# A status about the request itself counts as served: the client receives it unchanged, and another instance
+# would give the same. Which codes count as server errors follows OpenTelemetry's semantic conventions for
+# gRPC servers.
 _SERVED = Classification(Ending.SERVED, Outcome.OK, True)
 _SERVER_ERROR = Classification(Ending.FAILED, Outcome.ERROR, True)
 _UNAVAILABLE = Classification(Ending.FAILED, Outcome.ERROR, True, retryable=True)
@@ -59,8 +61,8 @@
     Status.NOT_FOUND: _SERVED,
     Status.ALREADY_EXISTS: _SERVED,
     Status.PERMISSION_DENIED: _SERVED,
-    # A quota, or a message too large: no other instance is likelier to take it, unless it says when to come
-    # back.
+    # A quota is used up or a message is too large. Another instance is no more likely to accept the call,
+    # unless the instance says when to retry.
     Status.RESOURCE_EXHAUSTED: Classification(Ending.FAILED, Outcome.CANCELLED, True),
     Status.FAILED_PRECONDITION: _SERVED,
     Status.ABORTED: _SERVED,
@@ -71,7 +73,8 @@
     Status.DATA_LOSS: _SERVER_ERROR,
     Status.UNAUTHENTICATED: _SERVED,
 }
-# A marked nack: UNAVAILABLE or RESOURCE_EXHAUSTED with no headers before it and `x-turned-away: 1` beside it.
+# A marked nack, by which an instance rejects a call without running it: UNAVAILABLE or RESOURCE_EXHAUSTED in
+# a trailers-only response that contains `x-turned-away: 1`.
 NACK = Classification(Ending.REFUSED, Outcome.FULL, False, retryable=True)
 NACK_STATUSES = (Status.UNAVAILABLE, Status.RESOURCE_EXHAUSTED)
 
@@ -94,20 +97,19 @@
 
 
 def status_from_http(code: int) -> Status:
-    """The status of an answer that carries none."""
+    """Return the gRPC status for the HTTP status of a response without `grpc-status`."""
     return _STATUS_BY_HTTP_STATUS.get(code, Status.UNKNOWN)
 
 
 def status_from_reset(code: int | None) -> Status:
-    """The status of a stream that RST_STREAM ended with this HTTP/2 code; None for a connection that
-    broke."""
+    """Return the status for the HTTP/2 code of an RST_STREAM, or for a broken connection if it is None."""
     if code is None:
         return Status.UNAVAILABLE
     return _STATUS_BY_HTTP2_CODE.get(code, Status.INTERNAL)
 
 
 def parse_status(text: bytes) -> Status:
-    """The number in `grpc-status`; what is none of the 17 counts as UNKNOWN, as the specification says."""
+    """Parse `grpc-status`. Anything but the 17 codes becomes UNKNOWN, as the specification requires."""
     try:
         return Status(int(text))
     except ValueError:
@@ -115,7 +117,7 @@
 
 
 def percent_encode(text: str) -> bytes:
-    """A status message for `grpc-message`: percent-encoded UTF-8."""
+    """Encode a status message for `grpc-message`, as percent-encoded UTF-8."""
     return b"".join(
         bytes((byte,)) if 0x20 <= byte <= 0x7E and byte != 0x25 else b"%%%02X" % byte
         for byte in text.encode(errors="replace")
@@ -123,5 +125,5 @@
 
 
 def percent_decode(text: bytes) -> str:
-    """A status message from `grpc-message`; never fails, as the specification asks."""
+    """Decode `grpc-message`. Never raises, as the specification requires."""
     return unquote_to_bytes(text).decode(errors="replace")
