--- a/pulleyroute/grpc/head.py
+++ b/pulleyroute/grpc/head.py
@@ -1,5 +1,4 @@
-"""Heads and metadata of gRPC calls: read, checked, passed on. Pure: bytes and numbers in, bytes and numbers
-out.
+"""Parses, checks and builds the headers and trailers of gRPC calls. Pure: no I/O, no clock.
 
 Source: "gRPC over HTTP2" (PROTOCOL-HTTP2.md) and gRFC A6 for `grpc-previous-rpc-attempts` and pushback.
 """
@@ -16,7 +15,7 @@
 _TIMEOUT_PATTERN = re.compile(rb"([0-9]{1,8})([HMSmun])")
 _TIMEOUT_UNITS_US = {b"H": 3_600_000_000, b"M": 60_000_000, b"S": 1_000_000, b"m": 1000, b"u": 1}
 _PATH_PATTERN = re.compile(rb"/([^/]+(?:/[^/]+)*)/([^/]+)")
-# Of the connection, not of the call (RFC 9110, 7.6.1), and what is written anew for the next hop.
+# Headers that belong to the connection, not to the call (RFC 9110, 7.6.1), or are generated for each hop.
 _HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -35,7 +34,10 @@
 
 
 class InvalidRequestHead(Exception):
-    """A request's head can't be used: `http` is the status where it is no gRPC at all, else 200."""
+    """The headers of a request are invalid.
+
+    `http_status` is the status of the response if the request is not gRPC at all, else 200.
+    """
 
     def __init__(self, status: Status, text: str, http_status: int = 200) -> None:
         super().__init__(text)
@@ -45,19 +47,19 @@
 
 @dataclass(slots=True)
 class RequestHead:
-    """A call as its client asked for it. `timeout` in microseconds, None without one."""
+    """The parsed headers of a call. `timeout_us` is None if the client set no deadline."""
 
     service: bytes
     method: bytes
     path: bytes
     authority: bytes
     timeout_us: int | None
-    previous_attempts: int  # tries before this one, by the client's word
-    metadata: Headers  # to pass on, in order
+    previous_attempts: int  # as stated by the client
+    metadata: Headers  # to forward, in the client's order
 
 
 def parse_request_head(headers: Headers) -> RequestHead:
-    """Check a request's head; raises `BadHead`."""
+    """Parse and check the headers of a request; raises `InvalidRequestHead`."""
     pseudo: dict[bytes, bytes] = {}
     metadata: Headers = []
     timeout_us: int | None = None
@@ -93,7 +95,7 @@
 
 
 def parse_timeout(value: bytes) -> int:
-    """`grpc-timeout` in microseconds, rounded down; raises `BadHead`."""
+    """Return `grpc-timeout` in microseconds, rounded down; raises `InvalidRequestHead`."""
     match = _TIMEOUT_PATTERN.fullmatch(value)
     if match is None:
         raise InvalidRequestHead(Status.INTERNAL, "grpc-timeout is not 1 to 8 digits and one of HMSmun")
@@ -102,7 +104,7 @@
 
 
 def format_timeout(time_left_us: int) -> bytes:
-    """So many microseconds as `grpc-timeout`, never longer than they are, in at most eight digits."""
+    """Format microseconds as `grpc-timeout`, rounded down to at most eight digits."""
     time_left_us = max(time_left_us, 0)
     for unit, size in ((b"u", 1), (b"m", 1000), (b"S", 10**6), (b"M", 60 * 10**6), (b"H", 3600 * 10**6)):
         if time_left_us // size < 10**8:
@@ -111,9 +113,10 @@
 
 
 def request_headers(head: RequestHead, scheme: bytes, time_left: int, previous_attempts: int) -> Headers:
-    """What an instance gets: the call's own metadata in order, its time as it is now, the tries before.
+    """Return the request headers for an instance.
 
-    `left` is in microseconds. `te: trailers` is due on every hop.
+    They contain the call's metadata in order, the time left (in microseconds), and the number of previous
+    attempts. `te: trailers` is required on every hop.
     """
     headers: Headers = [
         (b":method", b"POST"),
@@ -130,7 +133,7 @@
 
 
 def mark_sensitive(headers: Headers) -> Headers:
-    """The same, with secrets kept out of the compression's tables (RFC 7541, 7.1.3)."""
+    """Mark headers with secrets as never indexed, to keep them out of the HPACK tables (RFC 7541, 7.1.3)."""
     return [
         (name, value, True) if name in _SENSITIVE else (name, value)  # type: ignore[misc]
         for name, value in headers
@@ -138,12 +141,12 @@
 
 
 def without_hop_by_hop(headers: Headers) -> Headers:
-    """An answer's headers or trailers for the client: all but what belongs to the hop."""
+    """Return the headers or trailers of a response without those that belong to the hop."""
     return [(name, value) for name, value in headers if name not in _HOP_BY_HOP]
 
 
 def first_value(headers: Headers, name: bytes) -> bytes | None:
-    """The first value of a header."""
+    """Return the first value of a header, or None."""
     for key, value in headers:
         if key == name:
             return bytes(value)
@@ -151,7 +154,10 @@
 
 
 def trailers_only(status: Status, text: str, retry_after: int | None = None) -> Headers:
-    """A trailers-only answer of our own; `advice` in microseconds, when to come back (gRFC A6, pushback)."""
+    """Return a trailers-only response with a status and a message.
+
+    `retry_after` is the pushback (gRFC A6) in microseconds.
+    """
     return [
         (b":status", b"200"),
         (b"content-type", CONTENT_TYPE),
@@ -160,7 +166,7 @@
 
 
 def status_trailers(status: Status, text: str, retry_after: int | None = None) -> Headers:
-    """The same as trailers, after headers have gone."""
+    """Return the trailers that end a response whose headers have been sent; see `trailers_only`."""
     trailers: Headers = [(b"grpc-status", b"%d" % status)]
     if text:
         trailers.append((b"grpc-message", percent_encode(text)))
