--- a/pulleyroute/grpc/health.py
+++ b/pulleyroute/grpc/health.py
@@ -1,4 +1,4 @@
-"""`grpc.health.v1.Health`, answered by the dispatcher itself: Check and Watch."""
+"""The methods Check and Watch of `grpc.health.v1.Health`, which the dispatcher answers itself."""
 
 from __future__ import annotations
 
@@ -18,12 +18,15 @@
 
 CHECK_PATH, WATCH_PATH = b"/grpc.health.v1.Health/Check", b"/grpc.health.v1.Health/Watch"
 HEALTH_PATHS = (CHECK_PATH, WATCH_PATH)
-MAX_REQUEST_BYTES = 1024  # bytes of a request
+MAX_REQUEST_BYTES = 1024  # data after that is dropped
 RESPONSE_HEADERS: Headers = [(b":status", b"200"), (b"content-type", b"application/grpc")]
 
 
 class Health:
-    """What is served: the empty name for the whole dispatcher, and every service that a route names."""
+    """The health of the dispatcher (the empty service name) and of the services in its routes.
+
+    `is_known` tells whether a service has a route.
+    """
 
     def __init__(self, is_known: Callable[[str], bool]) -> None:
         self._is_known = is_known
@@ -31,25 +34,28 @@
         self.serving = True
 
     def status(self, service: str) -> int:
+        """Return the serving status of a service, a value of `HealthCheckResponse.ServingStatus`."""
         if service and not self._is_known(service):
             return SERVICE_UNKNOWN
         return SERVING if self.serving else NOT_SERVING
 
     def add_watch(self, call: HealthCall) -> None:
+        """Notify a Watch call of each change from now on."""
         self._watches.add(call)
 
     def remove_watch(self, call: HealthCall) -> None:
+        """Stop notifying a call; does nothing if it is not a Watch call."""
         self._watches.discard(call)
 
     def set_serving(self, serving: bool) -> None:
-        """Tell those who watch."""
+        """Set whether the dispatcher serves, and notify the Watch calls."""
         self.serving = serving
         for call in list(self._watches):
             call.send_status()
 
 
 class HealthCall:
-    """One call of the health service; owns its stream."""
+    """One call of the health service. Owns its stream, as that stream's `StreamHandler`."""
 
     def __init__(self, health: Health, stream: Stream, path: bytes, ended: bool) -> None:
         self._health, self._stream, self._path = health, stream, path
@@ -84,7 +90,7 @@
             self._health.add_watch(self)
 
     def send_status(self) -> None:
-        """The state has changed."""
+        """Send the current status to a Watch call, unless an earlier message still waits to be sent."""
         if self._service is not None and self._stream.pending_bytes == 0:
             self._stream.write(encode_health_response(self._health.status(self._service)))
 
