--- a/pulleyroute/grpc/messages.py
+++ b/pulleyroute/grpc/messages.py
@@ -1,7 +1,8 @@
-"""The few messages that the dispatcher itself reads or writes: gRPC's health protocol and ORCA load reports.
+"""The messages that the dispatcher itself encodes or decodes: gRPC's health protocol and ORCA load reports.
 
 Sources: `grpc.health.v1` ("GRPC Health Checking Protocol") and `xds.data.orca.v3.OrcaLoadReport` (gRFC A51,
-A64). Their types are described here and made by protobuf; users' messages are never looked into.
+A64). The message classes are built at import from descriptors. The messages of forwarded calls are never
+decoded.
 """
 
 from __future__ import annotations
@@ -72,16 +73,17 @@
 
 
 def framed(data: bytes) -> bytes:
-    """A whole message as it goes over the wire, not compressed."""
+    """Return a message as a Length-Prefixed-Message of "gRPC over HTTP2", not compressed."""
     return b"\0" + len(data).to_bytes(4, "big") + data
 
 
 def encode_health_response(status: int) -> bytes:
+    """Return a framed `HealthCheckResponse`."""
     return framed(HealthResponse(status=status).SerializeToString())
 
 
 def decode_health_request(data: bytes) -> str | None:
-    """The service that a framed `HealthCheckRequest` asks for; None if it can't be read."""
+    """Return the service named by a framed `HealthCheckRequest`, or None if it is malformed."""
     if len(data) < 5 or data[0] or int.from_bytes(data[1:5], "big") != len(data) - 5:
         return None
     try:
@@ -91,11 +93,12 @@
 
 
 def parse_load_report(trailers: Headers, slots: float) -> LoadReport | None:
-    """The load report in an answer's trailers, or None.
+    """Return the load report in the trailers of a response, or None if there is no readable one.
 
-    `endpoint-load-metrics-bin` holds a protobuf in base64; `endpoint-load-metrics` the same as `TEXT
-    name=value,...` or `JSON {...}`. Utilisation of an instance with `slots` slots becomes free slots; the
-    named metrics `free_slots`, `queue` and `inflight` go before it.
+    `endpoint-load-metrics-bin` contains a base64-encoded protobuf, `endpoint-load-metrics` the same report as
+    `TEXT name=value,...` or `JSON {...}`. Free slots are derived from the utilisation and `slots`, the
+    capacity of the instance, unless the named metric `free_slots` is given. The named metrics `queue` and
+    `inflight` become the queue length and the number of calls in flight.
     """
     values: dict[str, float] = {}
     data = first_value(trailers, b"endpoint-load-metrics-bin")
@@ -113,7 +116,7 @@
                 else:
                     values[str(name)] = float(value)
     except (ValueError, AttributeError, TypeError, RecursionError, message.DecodeError):
-        return None  # a load report is advice: an unreadable one changes nothing
+        return None  # a load report is optional: an unreadable one is ignored
     values = {
         name.removeprefix("named_metrics."): value for name, value in values.items() if math.isfinite(value)
     }
