--- a/pulleyroute/grpc/meter.py
+++ b/pulleyroute/grpc/meter.py
@@ -1,4 +1,4 @@
-"""Counts the messages in a stream of bytes without keeping or copying any. Pure.
+"""Counts the messages in a byte stream and checks their sizes, without buffering or copying them. Pure.
 
 Source: "gRPC over HTTP2", Length-Prefixed-Message: a flag byte, four bytes of length, then the message.
 """
@@ -7,18 +7,18 @@
 
 
 class MessageMeter:
-    """One direction of one call. `most`: bytes that a message may have; 0 for no limit."""
+    """Meters one direction of one call. `max_bytes` limits the size of a message; 0 for no limit."""
 
     __slots__ = ("_max_bytes", "_prefix", "_remaining", "message_count")
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
-        self._remaining = 0  # of the message that has begun
-        self._prefix = b""
-        self.message_count = 0  # messages begun
+        self._remaining = 0  # bytes missing from the current message
+        self._prefix = b""  # the incomplete prefix of the next message
+        self.message_count = 0  # messages whose prefix has been read
 
     def feed(self, data: bytes) -> bool:
-        """Take the next bytes; False once a message is larger than it may be."""
+        """Count the messages in the next bytes. Returns False if a message exceeds the limit."""
         position, size = 0, len(data)
         while True:
             if self._remaining:
@@ -45,5 +45,5 @@
 
     @property
     def at_boundary(self) -> bool:
-        """Whether the bytes so far end with a whole message."""
+        """Whether the bytes so far end at the boundary between two messages."""
         return not self._remaining and not self._prefix
