--- a/pulleyroute/grpc/routes.py
+++ b/pulleyroute/grpc/routes.py
@@ -1,7 +1,8 @@
-"""Which class and pool a call belongs to: pure, no I/O and no clock.
+"""The route table, which maps calls to pools and classes. Pure: no I/O, no clock.
 
-The most exact route wins, whatever the order in the file: service and method, then service, then the longest
-prefix of the service's name. Two routes of the same exactness are an error, told when the table is made.
+The most specific route wins, regardless of the order in the configuration: first service and method, then
+service, then the longest prefix of the service's name. Two routes with the same match are an error, raised
+when the table is built.
 """
 
 from __future__ import annotations
@@ -14,14 +15,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Match:
-    """What calls a route takes. `prefix` stands alone; `method` needs `service`. Names without slashes."""
+    """The calls that a route matches.
+
+    `prefix`, of the service's name, excludes `service` and `method`; `method` requires `service`. Names are
+    without slashes.
+    """
 
     service: str = ""
     method: str = ""
     prefix: str | None = None
 
     def problem(self) -> str | None:
-        """What is wrong with it, in a few words."""
+        """Return an error message if the combination of fields is invalid, else None."""
         if self.prefix is not None and (self.service or self.method):
             return "prefix stands alone, without service and method"
         if self.prefix is None and not self.service:
@@ -30,7 +35,7 @@
 
 
 class Routes(Generic[T]):
-    """A table from calls to whatever they are routed to. Raises ValueError for two equal matches."""
+    """A route table with targets of any type. Raises ValueError for an invalid match or two equal ones."""
 
     def __init__(self, routes: list[tuple[Match, T]]) -> None:
         self._methods: dict[tuple[bytes, bytes], T] = {}
@@ -52,18 +57,18 @@
         self._prefixes = sorted(prefixes.items(), key=lambda item: -len(item[0]))
 
     def find(self, service: bytes, method: bytes) -> T | None:
-        """Where a call goes; None for one that no route takes."""
+        """Return the target of a call, or None if no route matches it."""
         target = self._methods.get((service, method))
         if target is None:
             target = self._services.get(service)
         if target is None:
-            for prefix, at in self._prefixes:
+            for prefix, prefix_target in self._prefixes:
                 if service.startswith(prefix):
-                    return at
+                    return prefix_target
         return target
 
     def serves(self, service: bytes) -> bool:
-        """Whether some method of a service may be routed."""
+        """Whether a route matches at least one method of a service."""
         return (
             service in self._services
             or any(name == service for name, _ in self._methods)
