--- a/pulleyroute/grpc/call.py
+++ b/pulleyroute/grpc/call.py
@@ -1,8 +1,8 @@
-"""One call: the client's stream on one side, its attempts' streams on the other, and the bytes between.
+"""Forwards one call between the client's stream and the streams of its attempts.
 
-A `Call` is the client's stream's owner and has exactly one ending; an `Upstream` is one attempt's stream's
-owner. Flow control runs through: bytes count against their sender's window until the other side's kernel has
-them.
+A `Call` owns the client's stream and ends exactly once; an `Upstream` owns the stream of one attempt. Flow
+control is end to end: bytes count against their sender's window until they have been written to the socket on
+the other side.
 """
 
 from __future__ import annotations
@@ -22,28 +22,35 @@
 from pulleyroute.net.instance import Attempt
 from pulleyroute.net.requests import Answer, Ending, Job
 
-SLOW_READER_GRACE_US = 5_000_000  # a call that has ended may take so long to reach a client that reads slowly
+SLOW_READER_GRACE_US = 5_000_000  # time after the deadline in which a slow client may read its response
 
 
 class AttemptFinished(Protocol):
-    """What a back does with an attempt's end."""
+    """Called by an `Upstream` once, when its attempt ends without having been given up."""
 
     def __call__(self, upstream: Upstream, result: AttemptResult, trailers: Headers) -> None: ...
 
 
 @dataclass(slots=True)
 class FinalResponse:
-    """The last word of an instance on a call that is still open."""
+    """The end of an instance's response, kept until the host decides whether the call ends with it.
+
+    A trailers-only response is kept in `headers`, any other end in `trailers`. Both are empty if the stream
+    was aborted; `text` then gives the reason.
+    """
 
     status: Status
-    headers: Headers = field(default_factory=list)  # a trailers-only head, to be passed on as it is
+    headers: Headers = field(default_factory=list)  # of a trailers-only response
     trailers: Headers = field(default_factory=list)
     text: str = ""
 
 
 class Call:
-    """A call as its client sees it. Owns the client's stream, what is kept of the request, and the one
-    ending."""
+    """A client's call. Owns the client's stream and the buffered request, and ends exactly once.
+
+    `replay_limit` is the most bytes of the request kept for a retry, `message_bytes` the limit for each
+    message, 0 for no limit. `on_ended` is called when the call ends.
+    """
 
     def __init__(
         self,
@@ -60,24 +67,25 @@
         self.head = head
         self.replay = ReplayBuffer(replay_limit)
         self.job: Job | None = None
-        self.upstream: Upstream | None = None  # the attempt that is out
+        self.upstream: Upstream | None = None  # the current attempt
         self.final_response: FinalResponse | None = None
         self.done = False
         self.status: Status | None = None
-        self.refused = False  # its ending says that it never ran
-        self.client_gone = False  # its client left before its ending
+        self.refused = False  # ended as refused: the call never ran
+        self.client_gone = False  # the client cancelled or disconnected before the end
         self._ledger = ledger
         self._on_ended = on_ended
-        self._credited_bytes = 0  # of the request's bytes: given back to the client's window
-        self._headers_sent = False  # headers went to the client
+        self._credited_bytes = 0  # request bytes returned to the client's flow-control window
+        self._headers_sent = False  # the response headers have been sent to the client
         self._meter = MessageMeter(message_bytes)
 
-    # The client's stream
+    # Events of the client's stream (`StreamHandler`)
 
     def headers(self, headers: Headers, ended: bool) -> None:
-        """A server's stream hears of no headers but the first, which made the call."""
+        """Do nothing: the only headers that a client sends are those with which the call was created."""
 
     def data(self, data: bytes) -> None:
+        """Buffer and forward data of the request."""
         if self.done:
             self.stream.consumed(len(data))
             return
@@ -91,36 +99,39 @@
         self._bound_memory()
 
     def ended(self, trailers: Headers) -> None:
+        """Forward the end of the request."""
         self.replay.ended = True
         if self.upstream is not None:
             self.upstream.forward_request()
 
     def sent(self, count: int) -> None:
+        """Let the instance send as many bytes as have been sent to the client."""
         if self.upstream is not None:
             self.upstream.stream_consumed(count)
 
     def aborted(self, code: int | None, never_ran: bool, why: str) -> None:
-        """The client has cancelled, or is gone: its instance hears of it too."""
+        """End the call because the client cancelled or disconnected, and cancel it at the instance."""
         self.client_gone = True
         if not self.done:
             self._conclude(Status.CANCELLED)
             if self.job is not None:
                 self.host.abandon(self.job, stop=True)
 
-    # The request on its way
+    # The request
 
     def attach(self, upstream: Upstream) -> None:
-        """An attempt is out now and gets the request from its beginning."""
+        """Make an attempt the current one, and forward the request to it from the beginning."""
         self.upstream = upstream
         upstream.forward_request()
         self._bound_memory()
 
     def detach(self, upstream: Upstream) -> None:
+        """Forward no more to an attempt that has ended."""
         if self.upstream is upstream:
             self.upstream = None
 
     def forwarded(self, offset: int) -> None:
-        """So many of the request's bytes have gone to an instance: the client may send as many more."""
+        """Let the client send more, after the request up to `offset` has been sent to an instance."""
         if offset > self._credited_bytes:
             self.stream.consumed(offset - self._credited_bytes)
             self._credited_bytes = offset
@@ -128,7 +139,7 @@
             self._discard_replay(self.upstream.position)
 
     def _bound_memory(self) -> None:
-        """Commit once the request no longer fits: what is out is then its last attempt (gRFC A6)."""
+        """Commit the call to the current attempt once the request exceeds its buffer (gRFC A6)."""
         if self.upstream is None or self.done:
             return
         if (self.replay.over_limit or self._ledger.full) and self.replay.complete and self.job is not None:
@@ -141,21 +152,22 @@
         self.replay.discard_before(offset)
         self._ledger.held -= before - self.replay.buffered_bytes
 
-    # The answer
+    # The response
 
     def begin_response(self, headers: Headers) -> None:
-        """The answer's headers go out: no other attempt from here on."""
+        """Send the response headers to the client, which commits the call to the current attempt."""
         self._headers_sent = True
         self.stream.send_headers(without_hop_by_hop(headers))
         self._bound_memory()
 
     def reply(self, answer: Answer) -> None:
-        """The host's one answer."""
+        """End the call with the host's answer."""
         if self.done:
             return
         final_response = self.final_response
         if answer.ending is not Ending.SERVED and answer.late:
-            # Guards what the client's own clock will say anyway, and a reader that takes nothing any more.
+            # The client's own deadline ends the call with this status anyway. Pending data is discarded,
+            # because a client that no longer reads would delay the end.
             self.fail(Status.DEADLINE_EXCEEDED, "the deadline is over", discard_pending=True)
         elif (
             final_response is not None
@@ -174,7 +186,7 @@
             self.fail(Status.UNAVAILABLE, "failed: it may have run")
 
     def _deliver(self, final_response: FinalResponse) -> None:
-        """An instance's own ending, as it is."""
+        """Forward the end of an instance's response to the client."""
         self._conclude(final_response.status)
         if self._headers_sent:
             self.stream.finish(final_response.trailers)
@@ -189,7 +201,11 @@
     def fail(
         self, status: Status, text: str, retry_after: int | None = None, discard_pending: bool = False
     ) -> None:
-        """An ending of our own. `cut`: do not wait until what is on its way has been read."""
+        """End the call with a status of the dispatcher, and cancel its attempt.
+
+        `retry_after` is the pushback in microseconds, None or 0 for none. `discard_pending` discards the data
+        of the response that the client has not read yet, so that the status is not delayed.
+        """
         if self.done:
             return
         self._conclude(status)
@@ -211,7 +227,7 @@
 
 
 class Upstream:
-    """One attempt's stream, and what of the request has gone there."""
+    """The stream of one attempt, and how much of the request has been sent on it."""
 
     def __init__(
         self, call: Call, attempt: Attempt, on_finished: AttemptFinished, message_bytes: int
@@ -219,18 +235,18 @@
         self.call = call
         self.attempt = attempt
         self.stream: Stream | None = None
-        self.position = 0  # of the request: handed to the stream
-        self.sent_bytes = 0  # of it: with the kernel
+        self.position = 0  # offset in the request up to which the stream has been given it
+        self.sent_bytes = 0  # bytes of the request that have been written to the socket
         self._on_finished = on_finished
         self._http_status = 0
-        self._final_headers: Headers | None = None  # a head that is the whole answer
-        self._committed = False
+        self._final_headers: Headers | None = None  # of a response that consists of headers alone
+        self._committed = False  # the response headers have been forwarded
         self._finished = False
-        self._request_ended = False  # our side, as far as it was asked for
+        self._request_ended = False  # the stream has been asked to end the request
         self._meter = MessageMeter(message_bytes)
 
     def forward_request(self) -> None:
-        """Hand on what the client has sent since."""
+        """Forward what the client has sent since the last time."""
         if self.stream is None or self._finished or self._request_ended:
             return
         for chunk in self.call.replay.chunks_from(self.position):
@@ -241,17 +257,19 @@
             self.stream.finish()
 
     def stream_consumed(self, count: int) -> None:
+        """Let the instance send `count` more bytes."""
         if self.stream is not None:
             self.stream.consumed(count)
 
     def headers(self, headers: Headers, ended: bool) -> None:
+        """Forward the response headers, or conclude a response that has no messages."""
         if self._finished or self._committed:
             return
         self._http_status = int(first_value(headers, b":status") or b"0")
         content_type = first_value(headers, b"content-type") or b""
         if ended or self._http_status != 200 or not content_type.startswith(b"application/grpc"):
             self._final_headers = headers
-            if not ended:  # no gRPC at all, with a body that nobody reads
+            if not ended:  # not a gRPC response: its body is not read
                 self._conclude(first_value(headers, b"grpc-status") is not None)
             return
         if not self.call.host.begin_answer(self.attempt):
@@ -263,6 +281,7 @@
         self.call.begin_response(headers)
 
     def data(self, data: bytes) -> None:
+        """Forward data of the response, or drop it if the client can't receive it."""
         if not self._committed or self.call.done:
             self.stream_consumed(len(data))
         elif not self._meter.feed(data):
@@ -273,6 +292,7 @@
             self.call.stream.write(data)
 
     def ended(self, trailers: Headers) -> None:
+        """Report the result of a response that has ended."""
         if self._finished:
             return
         if self._final_headers is not None:
@@ -287,7 +307,7 @@
         self._on_finished(self, result, trailers)
 
     def _conclude(self, is_grpc: bool) -> None:
-        """The answer was a head alone."""
+        """Report the result of a response that consists of headers alone."""
         head = self._final_headers or []
         self._finished = True
         result = self._classify(head)
@@ -316,10 +336,12 @@
         )
 
     def sent(self, count: int) -> None:
+        """Count the request bytes that have been sent to the instance."""
         self.sent_bytes += count
         self.call.forwarded(self.sent_bytes)
 
     def aborted(self, code: int | None, never_ran: bool, why: str) -> None:
+        """Report the result of a stream that was reset, or whose connection broke."""
         if self._finished:
             return
         self._finished = True
@@ -328,7 +350,7 @@
         self._on_finished(self, result, [])
 
     def give_up(self) -> None:
-        """Stop it: the instance sees RST_STREAM with CANCEL."""
+        """Cancel the attempt: send RST_STREAM with CANCEL to the instance."""
         self._finished = True
         if self.stream is not None:
             self.stream.reset(Code.CANCEL)
