--- a/pulleyroute/lab/campaign.py
+++ b/pulleyroute/lab/campaign.py
@@ -17,7 +17,7 @@
 
 from pulleyroute.emulator.faulty import FaultyInstance, ReceivedAttempt, ScriptedResponse, draw_response
 from pulleyroute.emulator.virtual import VirtualLoop
-from pulleyroute.grpc import Calls, Front, FrontLimits, Match, Routes
+from pulleyroute.grpc import Front, FrontLimits, GrpcTransport, Match, Routes
 from pulleyroute.grpc.front import Target
 from pulleyroute.grpc.health import Health
 from pulleyroute.interface import Effect, JobClass, ReportSource, Settings
@@ -138,7 +138,7 @@
         for instance in self.instances:
             instance.start()
         self.discovery = DiscoveryClient(self.loop, self._buffers, ("127.0.0.1", 1), self.settings, 0)
-        self.upstream = Calls(
+        self.upstream = GrpcTransport(
             self.loop,
             self._buffers,
             self.discovery,
@@ -202,7 +202,7 @@
         done = self.loop.run_until(
             lambda: len(self.client_calls) == self.count
             and all(each.began and (each.endings or each.cancelled) for each in self.client_calls)
-            and not self.upstream.open,
+            and not self.upstream.open_attempts,
             (at - self.loop.now()) + 60 * SECOND,
         )
         self.loop.run_until(lambda: False, 2 * SECOND)
--- a/pulleyroute/service/assembly.py
+++ b/pulleyroute/service/assembly.py
@@ -18,7 +18,7 @@
 from pulleyroute.config.build import static_instance_list
 from pulleyroute.config.types import ListenerLimits
 from pulleyroute.fleet.runners import Runner
-from pulleyroute.grpc import Calls, Front, FrontLimits, Match, Routes
+from pulleyroute.grpc import Front, FrontLimits, GrpcTransport, Match, Routes
 from pulleyroute.grpc.front import Target
 from pulleyroute.grpc.health import Health
 from pulleyroute.interface import Settings, WorkerId
@@ -56,7 +56,7 @@
     settings: Settings
     discovery: DiscoveryClient
     host: FleetHost
-    transport: Calls | Instances
+    transport: GrpcTransport | Instances
     withheld: WithheldInstances
     revision: int = 1
 
@@ -128,7 +128,7 @@
         The job listeners report not ready and close their connections; gRPC health checks report not serving.
         """
         if self._lifecycle.standby(self._loop.now()):
-            self.health.change(False)
+            self.health.set_serving(False)
             for each in self.job_listeners.values():
                 each.standby()
             self.on_phase_change()
@@ -136,7 +136,7 @@
     def active(self) -> None:
         """Return from standby to service."""
         if self._lifecycle.active():
-            self.health.change(True)
+            self.health.set_serving(True)
             for each in self.job_listeners.values():
                 each.active()
             self.on_phase_change()
@@ -277,12 +277,12 @@
             self._clock_offset,
             self._random.getrandbits(64),
         )
-        transport: Calls | Instances
+        transport: GrpcTransport | Instances
         if pool.protocol == "grpc":
             limits = Limits(
                 window=pool.window, ping_after=pool.ping_after, ping_timeout=pool.ping_patience, idle=0
             )
-            transport = Calls(
+            transport = GrpcTransport(
                 self._loop,
                 self._buffers,
                 discovery,
@@ -304,7 +304,7 @@
                 self.metrics,
             )
         host = FleetHost(self._loop, settings, self._random.getrandbits(64), discovery, transport)
-        if isinstance(transport, Calls):
+        if isinstance(transport, GrpcTransport):
             transport.host = host
         withheld = WithheldInstances(host.post)
         discovery.on_update = withheld.on_list_update
@@ -326,7 +326,7 @@
             running.discovery.load_known(static_instance_list(pool, running.revision))
         if pool.discovery is not None and pool.discovery != running.pool.discovery:
             running.discovery.set_address(pool.discovery)
-        if isinstance(running.transport, Calls):
+        if isinstance(running.transport, GrpcTransport):
             running.transport.context = context
             running.transport.server_name = pool.tls.server_name if pool.tls is not None else ""
         running.pool = pool
@@ -408,7 +408,7 @@
         """Drop replaced pools and listeners that have finished."""
         for running in list(self._retired_pools):
             if not running.host.tracked_requests:
-                if isinstance(running.transport, Calls):
+                if isinstance(running.transport, GrpcTransport):
                     running.transport.close()
                 running.discovery.watch(False)
                 self._retired_pools.remove(running)
@@ -422,7 +422,7 @@
         """Accept nothing new, finish open requests within each listener's drain time, then stop the loop."""
         if not self._lifecycle.end(self._loop.now(), 0):
             return
-        self.health.change(False)
+        self.health.set_serving(False)
         self.on_phase_change()
         for front in self.grpc_listeners.values():
             front.stop()
--- a/tests/grpc/scene.py
+++ b/tests/grpc/scene.py
@@ -10,7 +10,7 @@
 import h2.events
 from hyperframe.frame import GoAwayFrame
 
-from pulleyroute.grpc import Calls, Front, FrontLimits, Match, Routes
+from pulleyroute.grpc import Front, FrontLimits, GrpcTransport, Match, Routes
 from pulleyroute.grpc.front import Target
 from pulleyroute.grpc.health import Health
 from pulleyroute.grpc.messages import framed
@@ -43,7 +43,7 @@
         self.peer.loop.until(lambda: self.peer.pull() and self.heads)
         return dict(self.heads[0])
 
-    def whole(self) -> Stream:
+    def wait_for_end(self) -> Stream:
         """Wait until the other side has ended, well or not."""
         self.peer.loop.until(lambda: self.peer.pull() and (self.ended or self.reset is not None))
         return self
@@ -55,7 +55,7 @@
         return self.reset
 
     def status(self) -> int:
-        return int(self.whole().last["grpc-status"])
+        return int(self.wait_for_end().last["grpc-status"])
 
     def send(self, data: bytes = b"", end: bool = False) -> Stream:
         size = 16_384
@@ -192,7 +192,7 @@
         return stream
 
 
-class Box:
+class ScriptedInstance:
     """A scripted instance."""
 
     def __init__(self, loop: ManualClockLoop, settings: dict | None = None) -> None:
@@ -243,9 +243,9 @@
             report_source=ReportSource.ANSWERS,
         )
         self.discovery = DiscoveryClient(self.loop, pool, ("127.0.0.1", 9), self.settings, 0)
-        self.back = Calls(self.loop, pool, self.discovery, self.settings, back or Limits(), slots)
+        self.back = GrpcTransport(self.loop, pool, self.discovery, self.settings, back or Limits(), slots)
         self.host = self.back.host = Host(self.loop, self.settings, 1, self.discovery, self.back)
-        self.boxes = {f"s-{i}": Box(self.loop, box) for i in range(boxes)}
+        self.boxes = {f"s-{i}": ScriptedInstance(self.loop, box) for i in range(boxes)}
         self.list(*self.boxes)
         routes = Routes(
             [
@@ -317,5 +317,10 @@
         """Nothing is left anywhere: no call, no attempt, no held byte."""
         for _ in range(5):
             self.loop.settle()
-        left = len(self.front.calls) + self.host.tracked_requests + self.back.open + self.front.ledger.held
+        left = (
+            len(self.front.calls)
+            + self.host.tracked_requests
+            + self.back.open_attempts
+            + self.front.ledger.held
+        )
         return left == 0
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -9,7 +9,7 @@
 from pulleyroute.config import load
 from pulleyroute.grpc.messages import framed
 from pulleyroute.service import CannotServe, Service
-from tests.grpc.scene import Box, Peer
+from tests.grpc.scene import Peer, ScriptedInstance
 from tests.net.scene import SECOND, Listener, ManualClockLoop, operate
 
 CONFIG = """
@@ -44,7 +44,7 @@
     def __init__(self, tmp_path, boxes=2):
         logger.remove()
         self.path, self.loop = tmp_path / "site.hcl", ManualClockLoop()
-        self.boxes = {f"a-{i}": Box(self.loop) for i in range(boxes)}
+        self.boxes = {f"a-{i}": ScriptedInstance(self.loop) for i in range(boxes)}
         with socket.socket() as sock:
             sock.bind(("127.0.0.1", 0))
             self.port = sock.getsockname()[1]
@@ -95,7 +95,7 @@
     _, other = scene.next_call()
     assert other.peer is not seen.peer
     for each, message in ((seen, b"old"), (other, b"new")):
-        each.whole().answer(message)
+        each.wait_for_end().answer(message)
     assert call.status() == 0 and call.body == framed(b"old")
     assert after.status() == 0 and after.body == framed(b"new")
     scene.loop.skip(3 * SECOND)
@@ -118,7 +118,7 @@
     later_seen = [scene.next_call() for _ in range(6)]
     assert all(name != removed for name, _ in later_seen)
     for _, each in seen + later_seen:
-        each.whole().answer(b"")
+        each.wait_for_end().answer(b"")
     assert [each.status() for each in calls + later_calls] == [0] * 10
 
 
@@ -128,7 +128,7 @@
     assert client.call("/shop.New/Do").status() == 12
     scene.apply(service="shop.New", message="1KiB")
     call = client.call("/shop.New/Do")
-    scene.next_call()[1].whole().answer(b"")
+    scene.next_call()[1].wait_for_end().answer(b"")
     assert call.status() == 0 and client.call("/shop.Pay/Do").status() == 12
     assert client.call("/shop.New/Do", b"x" * 2000, end=False).status() == 8 and not client.gone
 
@@ -144,8 +144,8 @@
     scene.apply(port=port)
     scene.loop.until(lambda: client.pull() and client.goaways)
     other = scene.client(port).call()
-    scene.next_call()[1].whole().answer(b"new")
-    seen.whole().answer(b"old")
+    scene.next_call()[1].wait_for_end().answer(b"new")
+    seen.wait_for_end().answer(b"old")
     assert call.status() == 0 and other.status() == 0
     with pytest.raises(ConnectionRefusedError):
         scene.client(scene.port)
@@ -159,7 +159,7 @@
     assert (scene.service.config, scene.service.pools, scene.service.grpc_listeners) == before
     scene.values["port"] = scene.port
     call = scene.client().call()
-    scene.next_call()[1].whole().answer(b"")
+    scene.next_call()[1].wait_for_end().answer(b"")
     assert call.status() == 0
 
 
@@ -189,7 +189,7 @@
     scene.service.stop()
     scene.loop.skip(2 * SECOND)
     assert not scene.loop.stopped
-    seen.whole().answer(b"")
+    seen.wait_for_end().answer(b"")
     assert call.status() == 0
     scene.loop.until(lambda: client.pull() and client.gone)
     scene.loop.skip(SECOND)
@@ -209,7 +209,7 @@
         return operate(scene.loop, config.management, method, path)
 
     call = scene.client(service.grpc_listeners["calls"].address[1]).call()
-    scene.next_call()[1].whole().answer(b"done")
+    scene.next_call()[1].wait_for_end().answer(b"done")
     assert call.status() == 0
     text = admin_request("GET", "/status/metrics")[1].decode()
     for line in ("answered.charge:1|c", "errored.charge:0|c", "sends:1|c", "current:0|g", "cluster_size:2|g"):
