--- a/benchmarks/fleet_drains.py
+++ b/benchmarks/fleet_drains.py
@@ -10,16 +10,18 @@
 import argparse
 from collections import Counter
 
-from pulleyroute.lab.fleet.campaign import Outcome, play
-from pulleyroute.lab.fleet.schedule import Deed, Schedule, Shape
+from pulleyroute.lab.fleet.campaign import Outcome, run_schedule
+from pulleyroute.lab.fleet.schedule import FleetSpec, Operation, Schedule
 
 SECOND = 1_000_000
-SHAPE = Shape(members=6, runners=3, length=25 * SECOND, rate=60.0)
+SHAPE = FleetSpec(members=6, runners=3, duration=25 * SECOND, rate=60.0)
 
 
 def release(seed: int) -> Schedule:
     """All are wanted started again after a second."""
-    return Schedule(seed, SHAPE, [Deed(SECOND, "wish", who, 0, "restart") for who in range(SHAPE.members)])
+    return Schedule(
+        seed, SHAPE, [Operation(SECOND, "wish", who, 0, "restart") for who in range(SHAPE.members)]
+    )
 
 
 ENDINGS = ("served", "refused", "failed", "lost", "turned")
@@ -43,8 +45,8 @@
     told: dict[str, list[Outcome]] = {"agreed": [], "each alone": []}
     for seed in seeds:
         for name, outcomes in told.items():
-            outcomes.append(play(release(seed), agreement=name == "agreed"))
-    print(f"members {SHAPE.members}, limit {SHAPE.out}, {len(seeds)} releases each")
+            outcomes.append(run_schedule(release(seed), agreement=name == "agreed"))
+    print(f"members {SHAPE.members}, limit {SHAPE.max_out}, {len(seeds)} releases each")
     print("| restarts | most out at once | on the mean | requests | " + " | ".join(ENDINGS) + " |")
     print("|" + " --- |" * (4 + len(ENDINGS)))
     for name, outcomes in told.items():
--- a/pulleyroute/cli/campaign.py
+++ b/pulleyroute/cli/campaign.py
@@ -19,8 +19,8 @@
 
 
 def _play(kind: str, seed: int, runs: int, jobs: int, out: Path | None) -> None:
-    from pulleyroute.lab.fleet.campaign import Outcome, campaign
-    from pulleyroute.lab.fleet.schedule import DRAWN
+    from pulleyroute.lab.fleet.campaign import Outcome, run_campaign
+    from pulleyroute.lab.fleet.schedule import GENERATORS
 
     def tell(outcome: Outcome) -> None:
         ends = ", ".join(f"{count} {ending}" for ending, count in sorted(outcome.endings.items()))
@@ -35,7 +35,7 @@
             for line in [
                 *outcome.broken,
                 "what was done:",
-                *map(str, DRAWN[kind](outcome.seed).deeds),
+                *map(str, GENERATORS[kind](outcome.seed).operations),
                 "what was seen:",
                 *outcome.log,
             ]:
@@ -45,7 +45,7 @@
                 flush=True,
             )
 
-    ended = campaign(kind, seed, runs, jobs, tell, out)
+    ended = run_campaign(kind, seed, runs, jobs, tell, out)
     broken = sum(1 for outcome in ended if outcome.broken)
     print(f"campaign {kind}: runs {len(ended)}, faults {sum(each.faults for each in ended)}, broken {broken}")
     if broken:
--- a/pulleyroute/emulator/store.py
+++ b/pulleyroute/emulator/store.py
@@ -147,10 +147,10 @@
                 if self.faults.slow and message.target != b"/faults":
                     yield Wait(until=self._loop.now() + self.faults.slow)
                 if message.target == b"/v3/watch" and not self.faults.leaderless:
-                    yield from self._watching(stream, message.body)
+                    yield from self._serve_watch(stream, message.body)
                     return
                 if message.target == b"/faults":
-                    status, body = self._told(message.body)
+                    status, body = self._set_faults(message.body)
                     yield from stream.answer(status, body, [], True, None)
                     return
                 yield from self._gathering(message)
@@ -178,7 +178,7 @@
         while len(self._gathered) < self.faults.gather:
             yield Wait(until=self._loop.now() + LOOK)
 
-    def _told(self, data: bytes) -> tuple[int, bytes]:
+    def _set_faults(self, data: bytes) -> tuple[int, bytes]:
         """`POST /faults`, which only the stand-in has: what it is to do wrong from now on."""
         try:
             self.faults = Faults(**json.loads(data))
@@ -255,7 +255,7 @@
         left = self.store.keep_alive(number, self._loop.now())
         return {"result": {"header": self._header(), "ID": str(number), "TTL": str(left)}}
 
-    def _watching(self, stream: Stream, data: bytes) -> Coroutine[None]:
+    def _serve_watch(self, stream: Stream, data: bytes) -> Coroutine[None]:
         """Tell of changes, one JSON object a line, until the connection ends."""
         try:
             wanted = json.loads(data)["create_request"]
--- a/pulleyroute/lab/fleet/campaign.py
+++ b/pulleyroute/lab/fleet/campaign.py
@@ -14,7 +14,7 @@
 
 from pulleyroute.lab.fleet.checker import every_outage
 from pulleyroute.lab.fleet.rig import Rig
-from pulleyroute.lab.fleet.schedule import DRAWN, Schedule
+from pulleyroute.lab.fleet.schedule import GENERATORS, Schedule
 from pulleyroute.net.loop import Coroutine, Loop
 
 
@@ -33,7 +33,7 @@
     log: list[str] = field(default_factory=list)
 
 
-def play(
+def run_schedule(
     schedule: Schedule, program: list[str] | None = None, agreement: bool = True, keep: Path | None = None
 ) -> Outcome:
     """One run in this process. `keep`: a folder that stays, with the logs of all processes."""
@@ -81,7 +81,7 @@
     )
 
 
-def campaign(
+def run_campaign(
     kind: str, seed: int, runs: int, jobs: int, tell: Callable[[Outcome], None], out: Path | None = None
 ) -> list[Outcome]:
     """So many runs from a seed on, `jobs` of them side by side, each in a process of its own."""
@@ -123,7 +123,7 @@
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     kind, seed = sys.argv[1], int(sys.argv[2])
     keep = Path(sys.argv[3]) if len(sys.argv) > 3 else None
-    outcome = play(DRAWN[kind](seed), keep=keep)
+    outcome = run_schedule(GENERATORS[kind](seed), keep=keep)
     print(json.dumps({name: getattr(outcome, name) for name in Outcome.__slots__}))
 
 
--- a/pulleyroute/lab/fleet/rig.py
+++ b/pulleyroute/lab/fleet/rig.py
@@ -37,7 +37,7 @@
     ONCE_DRAINED,
     ONCE_OUT,
     WAITS,
-    Deed,
+    Operation,
     Schedule,
 )
 from pulleyroute.net.buffers import BufferPool
@@ -162,7 +162,7 @@
         """`program`: what a dispatcher is started with; `agreement` False leaves the fleet block out."""
         raise_descriptor_limit()  # each member has three links here and one more for each runner
         self.loop, self.schedule, self.folder = loop, schedule, folder
-        self._shape = schedule.shape
+        self._spec = schedule.spec
         self._program = program or [sys.executable, "-m", "pulleyroute.cli", "serve"]
         self._agreement = agreement
         self._pool = BufferPool()
@@ -185,7 +185,7 @@
         self._hand = self._link(self._store_port)
         self.members = [
             Member(number, port, self._link(port), self._link(port), self._link(self._store_port))
-            for number in range(self._shape.members)
+            for number in range(self._spec.members)
             for port in [PORTS + 1 + number]
         ]
         client = Client(loop, self._pool, [self._hand.address], schedule.seed)
@@ -225,7 +225,7 @@
             "--seed",
             str(self.schedule.seed * 100 + number),
             "--mean-ms",
-            str(self._shape.mean_ms),
+            str(self._spec.mean_job_ms),
         ]
         for member in self.members:
             command += ["--callback", "{}:{}".format(*member.callbacks.address)]
@@ -235,7 +235,7 @@
         return [tuple(address) for address in json.loads(process.stdout.readline())]
 
     def _configure(self, member: Member) -> Path:
-        shape, works = self._shape, not member.version.endswith("errs")
+        spec, works = self._spec, not member.version.endswith("errs")
         places = [(link.address[0], link.address[1] if works else 1) for link in member.runners]
         instances = "".join(
             f'  instance "r{i}" {{\n    address = "{host}:{port}"\n  }}\n'
@@ -245,13 +245,13 @@
             FLEET.format(
                 store="{}:{}".format(*member.store.address),
                 group=GROUP,
-                zone=shape.zone(member.number),
+                zone=spec.zone(member.number),
                 version=member.version,
-                members=shape.members,
-                lease=shape.lease // SECOND,
-                out=shape.out,
-                out_zone=shape.out_zone,
-                least=shape.least,
+                members=spec.members,
+                lease=spec.lease // SECOND,
+                out=spec.max_out,
+                out_zone=spec.max_out_per_zone,
+                least=spec.min_serving,
                 status=STATUS,
                 version_file=self.folder / f"{member.name}.version",
             )
@@ -263,10 +263,10 @@
             name=member.name,
             host=self.host,
             port=member.port,
-            members=shape.members,
+            members=spec.members,
             number=member.number,
             instances=instances,
-            give_up=shape.give_up // 1000,
+            give_up=spec.give_up // 1000,
             fleet=fleet,
         )
         path.write_text("nonsense" if member.version.endswith("never") else text)
@@ -355,7 +355,7 @@
     def _loading(self) -> Coroutine[None]:
         count = 0
         while not self._over:
-            yield Wait(until=self.loop.now() + int(self._random.expovariate(self._shape.rate) * SECOND))
+            yield Wait(until=self.loop.now() + int(self._random.expovariate(self._spec.rate) * SECOND))
             wanted = [member for member in self.members if member.ready] or self.members
             kind = self._random.choice(list(KINDS))
             self.loop.spawn(self._asking(f"t{count}", kind, self._random.choice(wanted)), "client")
@@ -363,7 +363,7 @@
 
     def _asking(self, txn: str, kind: str, member: Member) -> Coroutine[None]:
         at, stream, ending, sent = self.loop.now(), None, "lost", False
-        until = at + self._shape.give_up + SECOND
+        until = at + self._spec.give_up + SECOND
         self._out += 1
         try:
             stream = yield from connect(self.loop, self._pool, member.clients.address, until)
@@ -374,7 +374,7 @@
                     (b"Host", b"rig"),
                     (b"X-Txn", txn.encode()),
                     (b"Content-Length", b"2"),
-                    (b"X-Remaining-Ms", b"%d" % (self._shape.give_up // 1000)),
+                    (b"X-Remaining-Ms", b"%d" % (self._spec.give_up // 1000)),
                 ],
             )
             yield from stream.send(stream.frame(head, b"{}"), until)
@@ -392,7 +392,7 @@
 
     # Deeds
 
-    def _do(self, deed: Deed) -> None:
+    def _do(self, deed: Operation) -> None:
         self.note(str(deed))
         if deed.what in WAITS:
             return
@@ -441,9 +441,7 @@
             for link in member.runners:
                 link.cut()
                 self._after(deed.span, link.heal)
-            self.saw.cut.setdefault(deed.who, []).append(
-                (now, now + deed.span + self._shape.give_up + SECOND)
-            )
+            self.saw.cut.setdefault(deed.who, []).append((now, now + deed.span + self._spec.give_up + SECOND))
         elif deed.what == "client-reset":
             now = self.loop.now()
             self.saw.cut.setdefault(deed.who, []).append((now - SECOND, now + SECOND))
@@ -454,7 +452,7 @@
         if member.process is not None:
             member.process.send_signal(signal.SIGTERM)
 
-    def _hurting_leader(self, deed: Deed) -> Coroutine[None]:
+    def _hurting_leader(self, deed: Operation) -> Coroutine[None]:
         with contextlib.suppress(Lost, Turned):
             known, _ = yield from self.operator.look()
             for name, token in known.tokens.items():
@@ -473,7 +471,7 @@
         if member.process is not None:
             member.process.send_signal(signal.SIGCONT)
 
-    def _hurt_store(self, deed: Deed) -> None:
+    def _hurt_store(self, deed: Operation) -> None:
         began = self.loop.now()
 
         def over() -> None:
@@ -504,7 +502,7 @@
                 "store-lose": {"lose_answers": 2},
                 "store-silent": {"silent_watches": True},
                 "store-slow": {"slow": 300_000},
-                GATHER: {"gather": self._shape.members, "gather_under": f"/pulleyroute/{GROUP}/permit/"},
+                GATHER: {"gather": self._spec.members, "gather_under": f"/pulleyroute/{GROUP}/permit/"},
             }
             faults = known.get(deed.what)
             if faults is None:
@@ -525,7 +523,7 @@
             stream = yield from connect(self.loop, self._pool, (self.host, self._store_port), until)
             yield from exchange(stream, b"POST", b"/faults", until, json.dumps(faults).encode())
 
-    def _operating(self, deed: Deed, name: str, call: Callable[[], Coroutine[None]]) -> Coroutine[None]:
+    def _operating(self, deed: Operation, name: str, call: Callable[[], Coroutine[None]]) -> Coroutine[None]:
         """One operator's call, made again while it is lost where the schedule says that operators insist."""
         end = self.loop.now() + (PATIENCE if self.schedule.insists else 0)
         while True:
@@ -541,26 +539,26 @@
                 return
             yield Wait(until=self.loop.now() + LOOK)
 
-    def _wishing(self, deed: Deed, member: Member) -> Coroutine[None]:
+    def _wishing(self, deed: Operation, member: Member) -> Coroutine[None]:
         if deed.what == "undrain":
             return self.operator.undrain(member.name, "as planned")
         if deed.more == "restart":
             return self.operator.drain(member.name, "restart", "as planned", f"v{deed.at}")
         return self.operator.drain(member.name, "standby", "as planned")
 
-    def _boxing(self, deed: Deed, box: str) -> Coroutine[None]:
+    def _boxing(self, deed: Operation, box: str) -> Coroutine[None]:
         if deed.what == "box-undrain":
             return self._undrain_box("boxes", box)
         return self.operator.drain_runner("boxes", box, "as planned")
 
-    def _releasing(self, deed: Deed) -> Coroutine[None]:
+    def _releasing(self, deed: Operation) -> Coroutine[None]:
         plan = release.Plan(
             f"r{deed.at}",
             deed.more,
             (Part(count=1), Part(share=0.5), Part(share=1.0)),
             at_once=2,
             soak=5 * SECOND,
-            patience=self._shape.patience,
+            patience=self._spec.wave_timeout,
             on_failure="back",
         )
         try:
@@ -635,12 +633,12 @@
     def run(self) -> Coroutine[None]:
         """Start, play the schedule, heal everything, and wait until all members want clients again."""
         self._start_store()
-        store, shape = self._store, self._shape
+        store, spec = self._store, self._spec
         assert store is not None and store.stdout is not None
         store.stdout.readline()
-        addresses = [self._start_runner(number) for number in range(shape.runners)]
+        addresses = [self._start_runner(number) for number in range(spec.runners)]
         for member in self.members:
-            for number in range(shape.runners):
+            for number in range(spec.runners):
                 link = Link(self.loop, addresses[number][member.number])
                 member.runners.append(link)
                 self._links.append(link)
@@ -653,17 +651,17 @@
             self.loop.spawn(self._watching(), "watch")
         self.loop.spawn(self._loading(), "load")
         self._began = self.loop.now()
-        for deed in self.schedule.deeds:
+        for deed in self.schedule.operations:
             yield Wait(until=self._began + deed.at)
             yield from self._until_due(deed)
             self._do(deed)
-        yield Wait(until=self._began + shape.length)
+        yield Wait(until=self._began + spec.duration)
         yield from self._calm()
 
     def _calm(self) -> Coroutine[None]:
         """All faults over and all wishes taken back: then everybody has to come back."""
         self.note("all is healed")
-        last = max((deed.at + deed.span for deed in self.schedule.deeds), default=0)
+        last = max((deed.at + deed.span for deed in self.schedule.operations), default=0)
         yield Wait(until=max(self.loop.now(), self._began + last + SECOND))
         for link in self._links:
             link.heal()
@@ -698,7 +696,7 @@
         with contextlib.suppress(TimeoutError):
             yield from self._until(lambda: not self._out)
 
-    def _until_due(self, deed: Deed) -> Coroutine[None]:
+    def _until_due(self, deed: Operation) -> Coroutine[None]:
         """Wait for what the deed is to meet, on a slow machine as on a fast one.
 
         The later deeds come later by as much, so that the time between two of them stays as it was drawn.
@@ -713,7 +711,7 @@
             self.note(f"did not come to be: {deed}")
         self._began += self.loop.now() - since
 
-    def _condition(self, deed: Deed) -> Callable[[], bool] | None:
+    def _condition(self, deed: Operation) -> Callable[[], bool] | None:
         if deed.more == ONCE_OUT:
             return lambda: not self.members[deed.who].ready
         if deed.more == ONCE_DRAINED:
@@ -732,7 +730,7 @@
         while self.loop.now() < end:
             with contextlib.suppress(Lost, Turned):
                 known, _ = yield from self.operator.look()
-                if len(known.words) == self._shape.members:
+                if len(known.words) == self._spec.members:
                     return
             yield Wait(until=self.loop.now() + SECOND // 10)
         raise TimeoutError("the fleet did not come together")
@@ -758,9 +756,13 @@
         self.saw.starts = [
             (line["at"], line["txn"], line["kind"], line["box"]) for line in lines if line["what"] == "start"
         ]
-        shape = self._shape
+        spec = self._spec
         limits = Limits(
-            shape.out, shape.out_zone, {i: shape.zone(i) for i in range(shape.members)}, shape.lease, STATUS
+            spec.max_out,
+            spec.max_out_per_zone,
+            {i: spec.zone(i) for i in range(spec.members)},
+            spec.lease,
+            STATUS,
         )
         return judge(self.saw, limits, {kind for kind, effect in KINDS.items() if effect == "unsafe"})
 
--- a/pulleyroute/lab/fleet/schedule.py
+++ b/pulleyroute/lab/fleet/schedule.py
@@ -14,28 +14,28 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Shape:
+class FleetSpec:
     """The fleet of a run. `out`, `out_zone`, `least`: its limits; times in microseconds."""
 
     members: int = 6
     zones: int = 3
     runners: int = 3
-    out: int = 2
-    out_zone: int = 1
-    least: int = 3
+    max_out: int = 2
+    max_out_per_zone: int = 1
+    min_serving: int = 3
     lease: int = 2 * SECOND
-    length: int = 12 * SECOND
+    duration: int = 12 * SECOND
     rate: float = 30.0  # jobs a second
-    mean_ms: int = 30  # that a job runs
+    mean_job_ms: int = 30  # that a job runs
     give_up: int = 5 * SECOND  # of every class
-    patience: int = 15 * SECOND  # of a release, for the members of a wave
+    wave_timeout: int = 15 * SECOND  # of a release, for the members of a wave
 
     def zone(self, member: int) -> str:
         return f"z{member % self.zones}"
 
 
 @dataclass(slots=True, frozen=True, order=True)
-class Deed:
+class Operation:
     """One thing done at a time of the run. `who`: a member's or runner's number; `span`: how long it lasts.
 
     `more`: of a wish what is wanted, of a cut which way; `ONCE_OUT` and `ONCE_DRAINED` are what it waits for.
@@ -98,66 +98,69 @@
     """
 
     seed: int
-    shape: Shape
-    deeds: list[Deed] = field(default_factory=list)
+    spec: FleetSpec
+    operations: list[Operation] = field(default_factory=list)
     insists: bool = False
 
     @property
     def faults(self) -> int:
-        return sum(1 for deed in self.deeds if deed.what not in WISHED)
+        return sum(1 for deed in self.operations if deed.what not in WISHED)
 
 
 BAD = ("errs", "never", "crashes")  # what is wrong with a version; its name says so
 
 
-def draw_release(seed: int, shape: Shape | None = None) -> Schedule:
+def draw_release(seed: int, spec: FleetSpec | None = None) -> Schedule:
     """A release, good or bad, among faults; now and then halted and resumed, or taken back, by hand."""
-    shape, random = shape or Shape(length=20 * SECOND), Random(seed)
+    spec, random = spec or FleetSpec(duration=20 * SECOND), Random(seed)
     version = f"v2-{random.choice(BAD)}" if random.random() < 0.5 else "v2"
-    deeds = [Deed(SECOND, "release", -1, 0, version)]
+    operations = [Operation(SECOND, "release", -1, 0, version)]
     if random.random() < 0.3:
         at = random.randint(3, 9) * SECOND
-        deeds += [Deed(at, "release-halt"), Deed(at + random.randint(1, 3) * SECOND, "release-resume")]
+        operations += [
+            Operation(at, "release-halt"),
+            Operation(at + random.randint(1, 3) * SECOND, "release-resume"),
+        ]
     elif random.random() < 0.2:
-        deeds.append(Deed(random.randint(4, 12) * SECOND, "release-back"))
+        operations.append(Operation(random.randint(4, 12) * SECOND, "release-back"))
     for _ in range(random.randint(2, 6)):
-        at = random.randrange(2 * SECOND, shape.length)
+        at = random.randrange(2 * SECOND, spec.duration)
         what = random.choice((*MEMBER_FAULTS, *LEADER_FAULTS, *STORE_FAULTS))
-        who = -1 if what in (*STORE_FAULTS, *LEADER_FAULTS) else random.randrange(shape.members)
+        who = -1 if what in (*STORE_FAULTS, *LEADER_FAULTS) else random.randrange(spec.members)
         span = 0 if what in AT_ONCE or what == "store-lose" else random.randint(10, 50) * SECOND // 10
-        deeds.append(Deed(at, what, who, span, "both" if what == "store-cut" else ""))
-    return Schedule(seed, shape, sorted(deeds))
+        operations.append(Operation(at, what, who, span, "both" if what == "store-cut" else ""))
+    return Schedule(seed, spec, sorted(operations))
 
 
-def draw(seed: int, shape: Shape | None = None) -> Schedule:
+def draw(seed: int, spec: FleetSpec | None = None) -> Schedule:
     """A schedule of wishes and faults. Some runs have all members wish at the same moment."""
-    shape, random = shape or Shape(), Random(seed)
-    deeds: list[Deed] = []
+    spec, random = spec or FleetSpec(), Random(seed)
+    operations: list[Operation] = []
 
     def some(least: int, most: int) -> int:
         return random.randint(least * 10, most * 10) * SECOND // 10
 
     if random.random() < 0.3:
         at = some(1, 4)
-        deeds += [Deed(at, "wish", who, 0, random.choice(WISHES)) for who in range(shape.members)]
+        operations += [Operation(at, "wish", who, 0, random.choice(WISHES)) for who in range(spec.members)]
     for _ in range(random.randint(5, 9)):
-        who, at = random.randrange(shape.members), random.randrange(shape.length)
-        deeds.append(Deed(at, "wish", who, 0, random.choice(WISHES)))
+        who, at = random.randrange(spec.members), random.randrange(spec.duration)
+        operations.append(Operation(at, "wish", who, 0, random.choice(WISHES)))
         if random.random() < 0.7:
-            deeds.append(Deed(at + some(1, 5), "undrain", who))
+            operations.append(Operation(at + some(1, 5), "undrain", who))
     for _ in range(random.randint(0, 3)):
-        box, at = random.randrange(shape.runners), random.randrange(shape.length * 2 // 3)
-        deeds += [Deed(at, "box-drain", box), Deed(at + some(2, 6), "box-undrain", box)]
+        box, at = random.randrange(spec.runners), random.randrange(spec.duration * 2 // 3)
+        operations += [Operation(at, "box-drain", box), Operation(at + some(2, 6), "box-undrain", box)]
     for _ in range(random.randint(4, 9)):
-        at = random.randrange(shape.length)
+        at = random.randrange(spec.duration)
         if random.random() < 0.65:
-            what, who = random.choice(MEMBER_FAULTS), random.randrange(shape.members)
+            what, who = random.choice(MEMBER_FAULTS), random.randrange(spec.members)
             more = random.choice(("both", "both", "up", "down")) if what == "store-cut" else ""
-            deeds.append(Deed(at, what, who, 0 if what in AT_ONCE else some(1, 6), more))
+            operations.append(Operation(at, what, who, 0 if what in AT_ONCE else some(1, 6), more))
         else:
             what = random.choice(STORE_FAULTS)
-            deeds.append(Deed(at, what, -1, 0 if what == "store-lose" else some(1, 4)))
-    return Schedule(seed, shape, sorted(deeds))
+            operations.append(Operation(at, what, -1, 0 if what == "store-lose" else some(1, 4)))
+    return Schedule(seed, spec, sorted(operations))
 
 
-DRAWN = {"drains": draw, "releases": draw_release}  # by the campaign's name
+GENERATORS = {"drains": draw, "releases": draw_release}  # by the campaign's name
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -237,7 +237,7 @@
 
 def test_a_store_that_lets_no_watch_stand_is_not_read_without_end(fleet, monkeypatch):
     together(fleet, "a")
-    monkeypatch.setattr(Server, "_watching", lambda self, stream, data: iter(()))
+    monkeypatch.setattr(Server, "_serve_watch", lambda self, stream, data: iter(()))
     for stream in list(fleet.server._streams):
         stream.close()
     before = fleet.agents["a"].client.calls
@@ -317,5 +317,7 @@
 
 
 def test_faults_are_told_over_the_stores_own_listener(fleet):
-    assert fleet.server._told(json.dumps({"slow": 5}).encode())[0] == 200 and fleet.server.faults.slow == 5
-    assert fleet.server._told(b'{"wrong": 1}')[0] == 400
+    assert (
+        fleet.server._set_faults(json.dumps({"slow": 5}).encode())[0] == 200 and fleet.server.faults.slow == 5
+    )
+    assert fleet.server._set_faults(b'{"wrong": 1}')[0] == 400
--- a/tests/fleet/test_checker.py
+++ b/tests/fleet/test_checker.py
@@ -3,7 +3,7 @@
 import pytest
 
 from pulleyroute.lab.fleet.checker import Asked, Limits, Look, Saw, judge
-from pulleyroute.lab.fleet.schedule import Shape, draw
+from pulleyroute.lab.fleet.schedule import FleetSpec, draw
 
 MS, SECOND = 1000, 1_000_000
 LIMITS = Limits(2, 1, {0: "z0", 1: "z1", 2: "z2", 3: "z0"}, 2 * SECOND, 75)
@@ -84,4 +84,6 @@
 def test_a_schedule_is_the_same_from_its_seed_and_has_faults():
     first = draw(7)
     assert first == draw(7) and first != draw(8) and first.faults > 0
-    assert all(0 <= deed.who < Shape().members or deed.what.startswith("store-") for deed in first.deeds)
+    assert all(
+        0 <= deed.who < FleetSpec().members or deed.what.startswith("store-") for deed in first.operations
+    )
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -10,79 +10,83 @@
 
 import pytest
 
-from pulleyroute.lab.fleet.campaign import play
+from pulleyroute.lab.fleet.campaign import run_schedule
 from pulleyroute.lab.fleet.schedule import (
     AWAIT_OUT,
     AWAIT_RESTARTS,
     GATHER,
     ONCE_DRAINED,
     ONCE_OUT,
-    Deed,
+    FleetSpec,
+    Operation,
     Schedule,
-    Shape,
     draw,
 )
 
 S = 1_000_000
-SHAPE = Shape(members=5, runners=2, length=9 * S, rate=20.0)
+SPEC = FleetSpec(members=5, runners=2, duration=9 * S, rate=20.0)
 # The store holds each request for a permit until all five are there: nobody has heard of another's permit.
 ALL_AT_ONCE = Schedule(
     1,
-    replace(SHAPE, lease=10 * S),
+    replace(SPEC, lease=10 * S),
     [
-        Deed(S // 2, GATHER),
-        *(Deed(S, "wish", who, 0, "standby") for who in range(5)),
-        Deed(5 * S, AWAIT_OUT, 2),
-        Deed(5 * S, AWAIT_OUT, 3, 4 * S),
+        Operation(S // 2, GATHER),
+        *(Operation(S, "wish", who, 0, "standby") for who in range(5)),
+        Operation(5 * S, AWAIT_OUT, 2),
+        Operation(5 * S, AWAIT_OUT, 3, 4 * S),
     ],
     insists=True,
 )
 # One stands still while it is out, for longer than its lease; then all others are wanted out.
 STALLED = Schedule(
     2,
-    SHAPE,
+    SPEC,
     [
-        Deed(S, "wish", 0, 0, "standby"),
-        Deed(2 * S, "stop", 0, 0, ONCE_OUT),
-        *(Deed(9 * S, "wish", who, 0, "standby") for who in range(1, 5)),
-        Deed(9 * S, AWAIT_OUT, 2),
-        Deed(9 * S, AWAIT_OUT, 3, 8 * S),
-        Deed(9 * S, "go-on", 0),
+        Operation(S, "wish", 0, 0, "standby"),
+        Operation(2 * S, "stop", 0, 0, ONCE_OUT),
+        *(Operation(9 * S, "wish", who, 0, "standby") for who in range(1, 5)),
+        Operation(9 * S, AWAIT_OUT, 2),
+        Operation(9 * S, AWAIT_OUT, 3, 8 * S),
+        Operation(9 * S, "go-on", 0),
     ],
     insists=True,
 )
 RELEASE = Schedule(
     3,
-    SHAPE,
+    SPEC,
     [
-        *(Deed(S, "wish", who, 0, "restart") for who in range(5)),
-        Deed(2 * S, "store-kill", -1, S),
-        Deed(4 * S, "kill", 2),
-        Deed(5 * S, "store-cut", 3, 3 * S, "down"),
-        Deed(9 * S, AWAIT_RESTARTS, 4),
+        *(Operation(S, "wish", who, 0, "restart") for who in range(5)),
+        Operation(2 * S, "store-kill", -1, S),
+        Operation(4 * S, "kill", 2),
+        Operation(5 * S, "store-cut", 3, 3 * S, "down"),
+        Operation(9 * S, AWAIT_RESTARTS, 4),
     ],
     insists=True,
 )
 # Jobs of four seconds on the mean, on runners of which one after the other is drained.
 BOXES = Schedule(
     4,
-    Shape(members=4, runners=3, length=10 * S, rate=2.5, mean_ms=4000, give_up=60 * S),
+    FleetSpec(members=4, runners=3, duration=10 * S, rate=2.5, mean_job_ms=4000, give_up=60 * S),
     [
-        Deed(2 * S, "box-drain", 0),
-        Deed(7 * S, "box-undrain", 0, 0, ONCE_DRAINED),
-        Deed(7 * S, "box-drain", 1),
-        Deed(9 * S, "box-undrain", 1, 0, ONCE_DRAINED),
+        Operation(2 * S, "box-drain", 0),
+        Operation(7 * S, "box-undrain", 0, 0, ONCE_DRAINED),
+        Operation(7 * S, "box-drain", 1),
+        Operation(9 * S, "box-undrain", 1, 0, ONCE_DRAINED),
     ],
     insists=True,
 )
 # A version that errs, and a good one; the leader is stopped past its lease and woken, and killed.
 BAD_VERSION = Schedule(
-    5, SHAPE, [Deed(S, "release", -1, 0, "v2-errs"), Deed(4 * S, "stop-leader", -1, 5 * S)]
+    5, SPEC, [Operation(S, "release", -1, 0, "v2-errs"), Operation(4 * S, "stop-leader", -1, 5 * S)]
 )
 GOOD_VERSION = Schedule(
     6,
-    replace(SHAPE, patience=60 * S),
-    [Deed(S, "release", -1, 0, "v2"), Deed(4 * S, "kill-leader"), Deed(12 * S, "stop-leader", -1, 5 * S)],
+    replace(SPEC, wave_timeout=60 * S),
+    [
+        Operation(S, "release", -1, 0, "v2"),
+        Operation(4 * S, "kill-leader"),
+        Operation(12 * S, "stop-leader", -1, 5 * S),
+    ],
 )
 MUTANT = """
 import sys
@@ -160,7 +164,7 @@
         **{name: mutated(name) for name in MUTANTS},
     }
     with ProcessPoolExecutor(4, get_context("spawn")) as pool:
-        going = {name: pool.submit(play, *job) for name, job in jobs.items()}
+        going = {name: pool.submit(run_schedule, *job) for name, job in jobs.items()}
         return {name: each.result() for name, each in going.items()}
 
 
--- a/tests/fleet/test_sizes.py
+++ b/tests/fleet/test_sizes.py
@@ -11,7 +11,7 @@
 from pulleyroute.fleet.records import Keys
 from pulleyroute.fleet.store import LARGEST, Item, Lost, put, unchanged
 from pulleyroute.lab.fleet.rig import Rig
-from pulleyroute.lab.fleet.schedule import Schedule, Shape
+from pulleyroute.lab.fleet.schedule import FleetSpec, Schedule
 from pulleyroute.net.lifecycle import Phase
 from pulleyroute.net.loop import Loop
 from tests.fleet.test_agent import states
@@ -157,7 +157,7 @@
 
 
 def test_the_rig_has_links_for_1024_dispatchers(usual_limit, tmp_path):
-    rig = Rig(Loop(lambda name, exc: None), Schedule(1, Shape(members=COUNT)), tmp_path)
+    rig = Rig(Loop(lambda name, exc: None), Schedule(1, FleetSpec(members=COUNT)), tmp_path)
     try:
         assert len({member.port for member in rig.members}) == COUNT
         assert max(member.port for member in rig.members) < first_port_of_the_system()
