--- a/pulleyroute/emulator/store.py
+++ b/pulleyroute/emulator/store.py
@@ -1,7 +1,8 @@
-"""The common store's stand-in: etcd v3's JSON gateway over HTTP/1.1, on the loop, with a log and with faults.
+"""A stand-in for the fleet's store: etcd v3's JSON gateway over HTTP/1.1, with a log and injected faults.
 
-A change is in the log, and the log on the disk, before it is answered; a store started anew on the same file
-is the one that was killed. Keys and values are base64 in JSON, whole numbers are texts, as in the original.
+Each change is written to the log and the log flushed to disk before the call is answered, so a store that is
+started again on the same file has the state of the one that was killed. In the JSON, keys and values are
+base64 and integers are strings, as in etcd.
 """
 
 from __future__ import annotations
@@ -15,33 +16,35 @@
 from pathlib import Path
 from typing import Any, Literal
 
-from pulleyroute.emulator.store_model import INVALID, Item, Refused, Request, Store
+from pulleyroute.emulator.store_model import INVALID_ARGUMENT, Item, Request, Store, StoreError
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.http import ConnectionFailed, DeadlineExceeded, Malformed, Message, Stream
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Task, Wait
 
-UNAVAILABLE = 14
-LOOK = 20_000  # us between two looks for what a watch has to tell, and for leases that lapse
-STATUS = {UNAVAILABLE: 503, 5: 404, 13: 500}
+UNAVAILABLE = 14  # gRPC status code
+POLL_INTERVAL_US = 20_000  # between checks for changes to send to watches, and for expired leases
+HTTP_STATUS = {UNAVAILABLE: 503, 5: 404, 13: 500}  # by gRPC status code; 400 for the others
 Json = dict[str, Any]
 
 
 @dataclass(slots=True)
 class Faults:
-    """What the store is told to do wrong; it may change while the store runs."""
-
-    slow: int = 0  # us before each answer
-    leaderless: bool = False  # every call is turned down
-    lose_answers: int = 0  # so many changes are carried out and their connection closed unanswered
-    silent_watches: bool = False  # watches stay open and tell nothing
-    gather: int = (
-        0  # transactions that put a key under `gather_under` are held until so many keys are asked for
-    )
+    """The faults to inject; they may change while the store runs.
+
+    The fields are the keys in the body of `POST /faults`.
+    """
+
+    slow: int = 0  # delay before each response, in microseconds
+    leaderless: bool = False  # every call fails with "no leader"
+    lose_answers: int = 0  # for this many changes, the change is applied and the connection closed unanswered
+    silent_watches: bool = False  # watches stay open and send nothing
+    # Transactions that put a key with the prefix `gather_under` wait until this many such keys are requested.
+    gather: int = 0
     gather_under: str = ""
 
 
 class Server:
-    """Owns the listener, the model and its log."""
+    """Owns the listener, the model of the store and its log."""
 
     def __init__(
         self,
@@ -50,15 +53,18 @@
         log: Path | None = None,
         leases: Literal["extend", "end"] = "extend",
     ) -> None:
-        """`leases`: what becomes of those in the log: their whole time anew, as in the original, or none."""
+        """Replay the log and listen.
+
+        `leases`: whether the leases in the log start again with their whole TTL, as in etcd, or end.
+        """
         self._loop, self._pool = loop, BufferPool()
         self.store, self.faults = Store(), Faults()
-        self._log: int | None = None
-        self._full = False  # the log can't be written: nothing is promised any more
-        self._gathered: set[bytes] = set()  # keys that held transactions ask for
+        self._log: int | None = None  # file descriptor
+        self._log_failed = False  # the log could not be written: all further calls are rejected
+        self._gathered_keys: set[bytes] = set()  # keys that delayed transactions put
         self._tasks: list[Task] = []
         self._streams: set[Stream] = set()
-        self._paths: dict[bytes, Callable[[Json], Json]] = {
+        self._handlers: dict[bytes, Callable[[Json], Json]] = {
             b"/v3/kv/range": self._range,
             b"/v3/kv/put": self._put,
             b"/v3/kv/deleterange": self._deleterange,
@@ -70,18 +76,21 @@
         }
         if log is not None:
             self._replay(log)
-            for number in list(self.store.leases):
+            for lease_id in list(self.store.leases):
                 if leases == "end":
-                    self.store.revoke(number)
+                    self.store.revoke(lease_id)
                 else:
-                    self.store.keep_alive(number, loop.now())
+                    self.store.keep_alive(lease_id, loop.now())
         self._sock = socket.create_server(address)
         self._sock.setblocking(False)
         self.address: tuple[str, int] = self._sock.getsockname()
-        self._tasks = [loop.spawn(self._accepting(), "store"), loop.spawn(self._lapsing(), "leases")]
+        self._tasks = [
+            loop.spawn(self._accept_connections(), "store"),
+            loop.spawn(self._expire_leases(), "leases"),
+        ]
 
     def close(self) -> None:
-        """As a kill does it: connections break, what is in the log stays."""
+        """End as a killed process does: connections break, and the log remains."""
         for task in self._tasks:
             task.cancel()
         for stream in list(self._streams):
@@ -96,15 +105,16 @@
 
     def _replay(self, path: Path) -> None:
         data = path.read_bytes() if path.exists() else b""
-        whole = data[: data.rfind(b"\n") + 1]
-        for line in whole.splitlines():
+        complete = data[: data.rfind(b"\n") + 1]
+        for line in complete.splitlines():
             entry = json.loads(line)
-            self._paths[entry["path"].encode()](entry["body"])
+            self._handlers[entry["path"].encode()](entry["body"])
         self._log = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
-        # Guards the next line against what a kill left half written: it was never answered.
-        os.ftruncate(self._log, len(whole))
+        # Drops the incomplete line that a kill leaves, which would corrupt the next one; its call was never
+        # answered.
+        os.ftruncate(self._log, len(complete))
 
-    def _keep(self, path: bytes, body: Json) -> None:
+    def _append_to_log(self, path: bytes, body: Json) -> None:
         if self._log is None:
             return
         line = json.dumps({"path": path.decode(), "body": body}).encode() + b"\n"
@@ -113,19 +123,19 @@
                 raise OSError("the disk is full")
             os.fsync(self._log)
         except OSError as exc:
-            self._full = True
-            raise Refused(13, f"the log can't be written: {exc}") from None
+            self._log_failed = True
+            raise StoreError(13, f"the log can't be written: {exc}") from None
 
-    def _lapsing(self) -> Coroutine[None]:
+    def _expire_leases(self) -> Coroutine[None]:
         while True:
-            for number in self.store.lapsed(self._loop.now()):
-                self.store.revoke(number)
-                self._keep(b"/v3/lease/revoke", {"ID": str(number)})
-            yield Wait(until=self._loop.now() + LOOK)
+            for lease_id in self.store.expired_leases(self._loop.now()):
+                self.store.revoke(lease_id)
+                self._append_to_log(b"/v3/lease/revoke", {"ID": str(lease_id)})
+            yield Wait(until=self._loop.now() + POLL_INTERVAL_US)
 
     # Connections
 
-    def _accepting(self) -> Coroutine[None]:
+    def _accept_connections(self) -> Coroutine[None]:
         while True:
             try:
                 sock, _ = self._sock.accept()
@@ -135,12 +145,10 @@
             sock.setblocking(False)
             self._tasks = [task for task in self._tasks if not task.done]
             self._tasks.append(
-                self._loop.spawn(
-                    self._serving(Stream(self._loop, self._pool, sock, server=True)), "store call"
-                )
+                self._loop.spawn(self._serve(Stream(self._loop, self._pool, sock, server=True)), "store call")
             )
 
-    def _serving(self, stream: Stream) -> Coroutine[None]:
+    def _serve(self, stream: Stream) -> Coroutine[None]:
         self._streams.add(stream)
         try:
             while (message := (yield from stream.request(None, 1024 * 1024))) is not None:
@@ -153,10 +161,10 @@
                     status, body = self._set_faults(message.body)
                     yield from stream.answer(status, body, [], True, None)
                     return
-                yield from self._gathering(message)
-                before = self.store.revision
-                status, body = self._answer(message.target, message.body)
-                if self.faults.lose_answers and self.store.revision != before:
+                yield from self._wait_for_gathered(message)
+                revision_before = self.store.revision
+                status, body = self._handle(message.target, message.body)
+                if self.faults.lose_answers and self.store.revision != revision_before:
                     self.faults.lose_answers -= 1
                     return
                 if not (yield from stream.answer(status, body, [], False, None)):
@@ -167,42 +175,49 @@
             self._streams.discard(stream)
             stream.close()
 
-    def _gathering(self, message: Message) -> Coroutine[None]:
-        """Hold a transaction until all that `gather` names are there, so that none has heard of another's."""
+    def _wait_for_gathered(self, message: Message) -> Coroutine[None]:
+        """Delay a transaction until `gather` keys are requested.
+
+        None of the clients then knows of another's request at the time of its own.
+        """
         if not self.faults.gather or message.target != b"/v3/kv/txn":
             return
-        asked = _puts_under(message.body, self.faults.gather_under.encode())
-        self._gathered |= asked
-        if not asked:
+        requested = _put_keys_with_prefix(message.body, self.faults.gather_under.encode())
+        self._gathered_keys |= requested
+        if not requested:
             return
-        while len(self._gathered) < self.faults.gather:
-            yield Wait(until=self._loop.now() + LOOK)
+        while len(self._gathered_keys) < self.faults.gather:
+            yield Wait(until=self._loop.now() + POLL_INTERVAL_US)
 
     def _set_faults(self, data: bytes) -> tuple[int, bytes]:
-        """`POST /faults`, which only the stand-in has: what it is to do wrong from now on."""
+        """Handle `POST /faults`, which etcd does not have: replaces the faults to inject."""
         try:
             self.faults = Faults(**json.loads(data))
         except (ValueError, TypeError) as exc:
             return 400, f"{exc}\n".encode()
         return 200, b"{}"
 
-    def _answer(self, path: bytes, data: bytes) -> tuple[int, bytes]:
+    def _handle(self, path: bytes, data: bytes) -> tuple[int, bytes]:
         try:
-            if self.faults.leaderless or self._full:
-                raise Refused(UNAVAILABLE, "etcdserver: no leader")
-            call = self._paths.get(path)
-            if call is None:
-                raise Refused(5, "Not Found")
+            if self.faults.leaderless or self._log_failed:
+                raise StoreError(UNAVAILABLE, "etcdserver: no leader")
+            handler = self._handlers.get(path)
+            if handler is None:
+                raise StoreError(5, "Not Found")
             body = json.loads(data)
             before = self.store.revision, len(self.store.leases), self.store.compacted
-            answer = call(body)
+            answer = handler(body)
             if (self.store.revision, len(self.store.leases), self.store.compacted) != before:
-                self._keep(path, {**body, "ID": answer["ID"]} if path == b"/v3/lease/grant" else body)
+                self._append_to_log(
+                    path, {**body, "ID": answer["ID"]} if path == b"/v3/lease/grant" else body
+                )
             return 200, json.dumps({"header": self._header(), **answer}).encode()
-        except Refused as exc:
-            return STATUS.get(exc.code, 400), json.dumps({"code": exc.code, "message": str(exc)}).encode()
+        except StoreError as exc:
+            return HTTP_STATUS.get(exc.code, 400), json.dumps(
+                {"code": exc.code, "message": str(exc)}
+            ).encode()
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as exc:
-            return 400, json.dumps({"code": INVALID, "message": f"not a request: {exc!r}"}).encode()
+            return 400, json.dumps({"code": INVALID_ARGUMENT, "message": f"not a request: {exc!r}"}).encode()
 
     def _header(self) -> Json:
         return {"cluster_id": "1", "member_id": "1", "revision": str(self.store.revision), "raft_term": "2"}
@@ -212,55 +227,55 @@
     def _range(self, body: Json) -> Json:
         items = self.store.range(_bytes(body, "key"), _bytes(body, "range_end"), int(body.get("revision", 0)))
         limit = int(body.get("limit", 0)) or len(items)
-        told: Json = {"kvs": [_item(item) for item in items[:limit]], "count": str(len(items))}
-        return {**told, "more": True} if len(items) > limit else told
+        answer: Json = {"kvs": [_item(item) for item in items[:limit]], "count": str(len(items))}
+        return {**answer, "more": True} if len(items) > limit else answer
 
     def _put(self, body: Json) -> Json:
         self.store.txn([], [_op({"request_put": body})], [])
         return {}
 
     def _deleterange(self, body: Json) -> Json:
-        _, (gone,) = self.store.txn([], [_op({"request_delete_range": body})], [])
-        return {"deleted": str(len(gone))}
+        _, (deleted,) = self.store.txn([], [_op({"request_delete_range": body})], [])
+        return {"deleted": str(len(deleted))}
 
     def _txn(self, body: Json) -> Json:
         branches = [[_op(each) for each in body.get(name, [])] for name in ("success", "failure")]
-        held, answers = self.store.txn([_compare(each) for each in body.get("compare", [])], *branches)
-        told: list[Json] = []
-        for op, answer in zip(branches[0 if held else 1], answers, strict=True):
+        succeeded, results = self.store.txn([_compare(each) for each in body.get("compare", [])], *branches)
+        responses: list[Json] = []
+        for op, result in zip(branches[0 if succeeded else 1], results, strict=True):
             if op["op"] == "put":
-                told.append({"response_put": {}})
+                responses.append({"response_put": {}})
             elif op["op"] == "delete":
-                told.append({"response_delete_range": {"deleted": str(len(answer))}})
+                responses.append({"response_delete_range": {"deleted": str(len(result))}})
             else:
-                told.append(
-                    {"response_range": {"kvs": [_item(item) for item in answer], "count": str(len(answer))}}
+                responses.append(
+                    {"response_range": {"kvs": [_item(item) for item in result], "count": str(len(result))}}
                 )
-        return {"succeeded": held, "responses": told}
+        return {"succeeded": succeeded, "responses": responses}
 
     def _compaction(self, body: Json) -> Json:
         self.store.compact(int(body.get("revision", 0)))
         return {}
 
     def _grant(self, body: Json) -> Json:
-        number = self.store.grant(int(body.get("TTL", 0)), int(body.get("ID", 0)), self._loop.now())
-        return {"ID": str(number), "TTL": str(self.store.leases[number].ttl)}
+        lease_id = self.store.grant(int(body.get("TTL", 0)), int(body.get("ID", 0)), self._loop.now())
+        return {"ID": str(lease_id), "TTL": str(self.store.leases[lease_id].ttl)}
 
     def _revoke(self, body: Json) -> Json:
         self.store.revoke(int(body.get("ID", 0)))
         return {}
 
     def _keepalive(self, body: Json) -> Json:
-        number = int(body.get("ID", 0))
-        left = self.store.keep_alive(number, self._loop.now())
-        return {"result": {"header": self._header(), "ID": str(number), "TTL": str(left)}}
+        lease_id = int(body.get("ID", 0))
+        ttl = self.store.keep_alive(lease_id, self._loop.now())
+        return {"result": {"header": self._header(), "ID": str(lease_id), "TTL": str(ttl)}}
 
     def _serve_watch(self, stream: Stream, data: bytes) -> Coroutine[None]:
-        """Tell of changes, one JSON object a line, until the connection ends."""
+        """Send the changes of the watched range, one JSON object per line, until the connection ends."""
         try:
-            wanted = json.loads(data)["create_request"]
-            key, end = _bytes(wanted, "key"), _bytes(wanted, "range_end")
-            start = int(wanted.get("start_revision", 0)) or self.store.revision + 1
+            request = json.loads(data)["create_request"]
+            key, end = _bytes(request, "key"), _bytes(request, "range_end")
+            start = int(request.get("start_revision", 0)) or self.store.revision + 1
         except (ValueError, KeyError, TypeError, AttributeError):
             yield from stream.answer(400, b"{}", [], True, None)
             return
@@ -280,10 +295,10 @@
                         None,
                     )
                     return
-                # Not at every look: reading what has changed goes through all keys' history.
-                changed = self.store.events(key, end, start) if start <= self.store.revision else []
+                # Skipped if there is no new revision: reading the changes scans the history of all keys.
+                changes = self.store.events(key, end, start) if start <= self.store.revision else []
                 start = max(start, self.store.revision + 1)
-                if changed:
+                if changes:
                     yield from stream.send(
                         _line(
                             {
@@ -292,17 +307,17 @@
                                     {"kv": _item(item)}
                                     if item.version
                                     else {"type": "DELETE", "kv": _item(item)}
-                                    for item in changed
+                                    for item in changes
                                 ],
                             }
                         ),
                         None,
                     )
-            yield Wait(until=self._loop.now() + LOOK)
+            yield Wait(until=self._loop.now() + POLL_INTERVAL_US)
 
 
-def _puts_under(data: bytes, prefix: bytes) -> set[bytes]:
-    """The keys below a prefix that a transaction puts; none where it is not in form."""
+def _put_keys_with_prefix(data: bytes, prefix: bytes) -> set[bytes]:
+    """Return the keys with this prefix that a transaction puts; none if the transaction is malformed."""
     try:
         puts = [op["request_put"] for op in json.loads(data).get("success", []) if "request_put" in op]
         keys = {_bytes(each, "key") for each in puts}
@@ -321,10 +336,10 @@
 
 
 def _item(item: Item) -> Json:
-    each: Json = {"key": b64encode(item.key).decode(), "mod_revision": str(item.mod)}
+    each: Json = {"key": b64encode(item.key).decode(), "mod_revision": str(item.mod_revision)}
     if item.version:
         each |= {
-            "create_revision": str(item.create),
+            "create_revision": str(item.create_revision),
             "version": str(item.version),
             "value": b64encode(item.value).decode(),
         }
@@ -334,7 +349,7 @@
 
 
 def _op(body: Json) -> Request:
-    """One operation of a transaction, as the model takes it."""
+    """Translate one operation of a transaction into the form that the model takes."""
     ((kind, each),) = body.items()
     if kind == "request_put":
         return {
@@ -352,10 +367,10 @@
             "end": _bytes(each, "range_end"),
             "revision": int(each.get("revision", 0)),
         }
-    raise Refused(INVALID, f"an operation {kind!r} is not known")
+    raise StoreError(INVALID_ARGUMENT, f"an operation {kind!r} is not known")
 
 
-_TARGETS = {
+_OPERAND_KEYS = {  # by the target of a comparison
     "VERSION": "version",
     "CREATE": "create_revision",
     "MOD": "mod_revision",
@@ -365,7 +380,13 @@
 
 
 def _compare(body: Json) -> Request:
+    """Translate one comparison of a transaction into the form that the model takes."""
     target = body.get("target", "VERSION")
-    name = _TARGETS[target]
-    want = _bytes(body, name) if target == "VALUE" else int(body.get(name, 0))
-    return {"key": _bytes(body, "key"), "target": target, "want": want, "result": body.get("result", "EQUAL")}
+    name = _OPERAND_KEYS[target]
+    operand = _bytes(body, name) if target == "VALUE" else int(body.get(name, 0))
+    return {
+        "key": _bytes(body, "key"),
+        "target": target,
+        "want": operand,
+        "result": body.get("result", "EQUAL"),
+    }
