--- a/pulleyroute/emulator/link.py
+++ b/pulleyroute/emulator/link.py
@@ -1,7 +1,8 @@
-"""A link between two processes that can be cut, delayed and reset, each way for itself.
+"""A TCP proxy between two processes that injects network faults: cuts, delays and resets.
 
-Bytes that meet a cut wait for its end, as TCP sends them again; a connection that is made meanwhile seems to
-come up and carries nothing. `reset` ends every connection at once.
+Cuts apply to each direction separately. Bytes sent during a cut are delivered after it, as if TCP had sent
+them again; a connection made during a cut is accepted and carries nothing until the cut ends. `reset` ends
+every connection at once.
 """
 
 from __future__ import annotations
@@ -13,117 +14,119 @@
 from pulleyroute.net.http import ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, dial
 from pulleyroute.net.loop import READABLE, WRITABLE, Coroutine, Loop, Task, Wait
 
-LOOK = 10_000  # us between two looks whether a cut is over
-DIAL_TIME = 2_000_000
-CHUNK = 65_536
-_HARD = struct.pack("ii", 1, 0)  # SO_LINGER: a close resets
+POLL_INTERVAL_US = 10_000  # between checks whether a cut has ended
+CONNECT_TIMEOUT_US = 2_000_000
+CHUNK_BYTES = 65_536
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of zero
 
 
 class Link:
-    """Listens at `address` for one end and connects to the other for each connection.
+    """Listens at `address` and opens one connection to `target` for each connection that it accepts.
 
-    `delay`: us that bytes take longer, each way. `up_cut`: what the connecting end sends stops; `down_cut`:
-    what comes back does.
+    `delay`: the added delay in microseconds, in each direction. `up_cut`: bytes from the connecting side are
+    held back; `down_cut`: bytes to it are.
     """
 
     def __init__(self, loop: Loop, target: tuple[str, int] | None = None) -> None:
         self._loop = loop
-        self.target = target  # None: nobody is there yet
+        self.target = target  # None: connections are reset
         self.delay = 0
         self.up_cut = self.down_cut = False
-        self._ends: set[socket.socket] = set()
+        self._sockets: set[socket.socket] = set()
         self._tasks: list[Task] = []
         self._sock = socket.create_server(("127.0.0.1", 0), backlog=256)
         self._sock.setblocking(False)
         self.address: tuple[str, int] = self._sock.getsockname()
-        self._accept = loop.spawn(self._accepting(), "link")
+        self._accept_task = loop.spawn(self._accept_connections(), "link")
 
     def cut(self, up: bool = True, down: bool = True) -> None:
+        """Cut the given directions, and restore the others."""
         self.up_cut, self.down_cut = up, down
 
     def heal(self) -> None:
-        """As if nothing had been done to it."""
+        """End all cuts and the delay."""
         self.up_cut = self.down_cut = False
         self.delay = 0
 
     def reset(self) -> None:
-        """End every connection with a reset at both ends."""
+        """Reset every connection at both ends."""
         for task in self._tasks:
             task.cancel()
         self._tasks.clear()
-        for end in list(self._ends):
-            self._drop(end, hard=True)
+        for sock in list(self._sockets):
+            self._close_socket(sock, reset=True)
 
     def close(self) -> None:
-        self._accept.cancel()
+        """Stop listening and reset every connection."""
+        self._accept_task.cancel()
         self.reset()
         self._loop.forget(self._sock.fileno())
         self._sock.close()
 
-    def _drop(self, end: socket.socket, hard: bool = False) -> None:
-        if end not in self._ends:
+    def _close_socket(self, sock: socket.socket, reset: bool = False) -> None:
+        if sock not in self._sockets:
             return
-        self._ends.discard(end)
+        self._sockets.discard(sock)
         with contextlib.suppress(OSError):
-            if hard:
-                end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _HARD)
-        self._loop.forget(end.fileno())
-        end.close()
+            if reset:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
+        self._loop.forget(sock.fileno())
+        sock.close()
 
-    def _accepting(self) -> Coroutine[None]:
+    def _accept_connections(self) -> Coroutine[None]:
         while True:
             try:
-                near, _ = self._sock.accept()
+                downstream, _ = self._sock.accept()
             except OSError:
                 yield Wait(self._sock.fileno(), READABLE)
                 continue
-            near.setblocking(False)
-            near.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self._ends.add(near)
+            downstream.setblocking(False)
+            downstream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self._sockets.add(downstream)
             self._tasks = [task for task in self._tasks if not task.done]
-            self._tasks.append(self._loop.spawn(self._joining(near), "link connection"))
+            self._tasks.append(self._loop.spawn(self._connect_through(downstream), "link connection"))
 
-    def _joining(self, near: socket.socket) -> Coroutine[None]:
+    def _connect_through(self, downstream: socket.socket) -> Coroutine[None]:
         while self.up_cut or self.down_cut:
-            yield Wait(until=self._loop.now() + LOOK)
+            yield Wait(until=self._loop.now() + POLL_INTERVAL_US)
         try:
             if self.target is None:
-                raise ConnectionFailed("nobody is there")
-            far = yield from dial(self._loop, self.target, self._loop.now() + DIAL_TIME)
+                raise ConnectionFailed("the link has no target")
+            upstream = yield from dial(self._loop, self.target, self._loop.now() + CONNECT_TIMEOUT_US)
         except (ConnectionFailed, ConnectionLimitReached, DeadlineExceeded):
-            self._drop(near, hard=True)
+            self._close_socket(downstream, reset=True)
             return
-        # Of each end one descriptor reads and another writes: the loop knows one task a descriptor.
-        ends = [near, far, near.dup(), far.dup()]
-        self._ends.update(ends)
-        self._tasks.append(self._loop.spawn(self._pumping(near, ends[3], True), "link up"))
-        self._tasks.append(self._loop.spawn(self._pumping(far, ends[2], False), "link down"))
-
-    def _pumping(self, source: socket.socket, sink: socket.socket, up: bool) -> Coroutine[None]:
-        """Carry bytes one way; the end of one side is the end of the other's reading, a reset is both's."""
-        hard = False
+        # The loop allows one waiting task per descriptor, so each socket is read and written through two.
+        sockets = [downstream, upstream, downstream.dup(), upstream.dup()]
+        self._sockets.update(sockets)
+        self._tasks.append(self._loop.spawn(self._forward(downstream, sockets[3], True), "link up"))
+        self._tasks.append(self._loop.spawn(self._forward(upstream, sockets[2], False), "link down"))
+
+    def _forward(self, source: socket.socket, sink: socket.socket, up: bool) -> Coroutine[None]:
+        """Forward bytes in one direction; an end of stream is passed on, an error resets both sockets."""
+        failed = False
         try:
             while True:
                 try:
-                    data = source.recv(CHUNK)
+                    data = source.recv(CHUNK_BYTES)
                 except (BlockingIOError, InterruptedError):
                     yield Wait(source.fileno(), READABLE)
                     continue
                 if self.delay:
                     yield Wait(until=self._loop.now() + self.delay)
                 while self.up_cut if up else self.down_cut:
-                    yield Wait(until=self._loop.now() + LOOK)
+                    yield Wait(until=self._loop.now() + POLL_INTERVAL_US)
                 if not data:
                     sink.shutdown(socket.SHUT_WR)
                     return
-                rest = memoryview(data)
-                while rest:
+                remaining = memoryview(data)
+                while remaining:
                     try:
-                        rest = rest[sink.send(rest) :]
+                        remaining = remaining[sink.send(remaining) :]
                     except (BlockingIOError, InterruptedError):
                         yield Wait(sink.fileno(), WRITABLE)
         except OSError:
-            hard = True
+            failed = True
         finally:
-            self._drop(source, hard)
-            self._drop(sink, hard)
+            self._close_socket(source, failed)
+            self._close_socket(sink, failed)
