--- a/tests/fleet/test_sizes.py
+++ b/tests/fleet/test_sizes.py
@@ -1,4 +1,4 @@
-"""A fleet of 1,024 members: in the store, at the stand-ins and in the rig."""
+"""A fleet of 1,024 members: in the store, at the stand-ins and in the test rig."""
 
 import json
 import resource
@@ -25,14 +25,14 @@
 
 @pytest.fixture
 def play():
-    played = Play()
-    yield played
-    played.close()
+    scene = Play()
+    yield scene
+    scene.close()
 
 
 @pytest.fixture
 def usual_limit():
-    """The limit of descriptors that a process commonly starts with."""
+    """Set the limit of file descriptors that a process commonly starts with."""
     before = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (COUNT, before[1]))
     yield
@@ -40,12 +40,12 @@
 
 
 def fill(store, values):
-    """Put them all, as one change."""
+    """Put all these keys and values as one change."""
     store.txn([], [{"op": "put", "key": key, "value": value, "lease": 0} for key, value in values], [])
 
 
 def members():
-    """The records of so many members that serve."""
+    """Yield the records of all members, as they are while the members serve."""
     for name in NAMES:
         yield (
             KEYS.of("seat", name),
@@ -55,58 +55,61 @@
 
 
 def acks(runners):
+    """Yield the acknowledgements by all members of the drains of the first `runners` runners."""
     for number in range(runners):
         for name in NAMES:
             yield KEYS.of("ack", "p", f"r{number}", name), records.encode(incarnation=1, of="m", mark=name)
 
 
-def test_what_is_larger_than_one_answer_is_read_whole_and_as_it_stood_at_one_revision(play):
+def test_a_range_larger_than_one_answer_is_read_completely_at_one_revision(play):
     store = play.servers[0].store
     fill(store, [*members(), *acks(12)])
-    told, seen = play.client.call, []
+    call, answer_bytes = play.client.call, []
 
-    def changing(path, body):
-        answer = yield from told(path, body)
-        seen.append(sum(len(kv["key"]) + len(kv["value"]) for kv in answer["kvs"]))
+    def call_and_change(path, body):
+        answer = yield from call(path, body)
+        answer_bytes.append(sum(len(kv["key"]) + len(kv["value"]) for kv in answer["kvs"]))
         fill(store, [(KEYS.of("word", NAMES[-1]), b"later")])
         return answer
 
-    play.client.call = changing
+    play.client.call = call_and_change
     revision, items = play.run(play.client.range(KEYS.prefix, KEYS.end))
-    assert revision == 2 and len(items) == 14 * COUNT and sum(seen) > LARGEST
+    assert revision == 2 and len(items) == 14 * COUNT and sum(answer_bytes) > LARGEST
     assert all(item.mod == 2 for item in items)
 
 
-def test_a_reading_that_a_compaction_overtakes_is_lost_and_changed_nothing(play):
+def test_a_read_of_a_revision_that_is_compacted_meanwhile_is_lost_and_changed_nothing(play):
     store = play.servers[0].store
     fill(store, members())
-    told = play.client.call
+    call = play.client.call
 
-    def compacting(path, body):
-        answer = yield from told(path, body)
+    def call_and_compact(path, body):
+        answer = yield from call(path, body)
         fill(store, [(b"k", b"v")])
         store.compact(store.revision)
         return answer
 
-    play.client.call = compacting
+    play.client.call = call_and_compact
     with pytest.raises(Lost) as lost:
         play.run(play.client.range(KEYS.prefix, KEYS.end))
     assert not lost.value.maybe
 
 
-def test_a_change_of_1024_keys_is_heard_by_a_watch(play):
-    heard = []
+def test_a_watch_receives_a_change_of_1024_members(play):
+    received = []
 
-    def watching():
-        yield from play.client.watch(KEYS.prefix, KEYS.end, 2, lambda items, _: heard.extend(items), SECOND)
+    def watch():
+        yield from play.client.watch(
+            KEYS.prefix, KEYS.end, 2, lambda items, _: received.extend(items), SECOND
+        )
 
     fill(play.servers[0].store, members())
     with pytest.raises(Lost):
-        play.run(watching())
-    assert len(heard) == 2 * COUNT
+        play.run(watch())
+    assert len(received) == 2 * COUNT
 
 
-def test_a_transaction_with_1024_guards_is_carried_out(play):
+def test_a_transaction_with_1024_comparisons_is_applied(play):
     store = play.servers[0].store
     fill(store, members())
     items = [Item(key, b"", 2, 2) for key, _ in members()]
@@ -117,7 +120,7 @@
     assert len(store.range(*KEYS.below("wish"))) == COUNT
 
 
-def test_a_member_among_1024_has_its_permit_and_goes(fleet):
+def test_a_member_among_1024_gets_its_permit_and_drains(fleet):
     fill(fleet.server.store, members())
     service = fleet.join("me")
     fleet.until(
@@ -127,19 +130,19 @@
     fleet.until(lambda: service.phase is Phase.STANDBY)
 
 
-def test_a_runner_that_1024_members_have_acknowledged_is_given_back_in_one_small_transaction(fleet):
+def test_the_drain_of_a_runner_that_1024_members_have_acknowledged_ends_in_one_small_transaction(fleet):
     store = fleet.server.store
     mark = (KEYS.of("mark", "p", "r0"), records.encode(mark="m", by="ann", why="why"))
     want = (KEYS.of("want", "p", "r0"), records.encode(mark="w", by="ann", why="why"))
     fill(store, [*members(), *acks(2), mark, want])
     assert states(fleet)["r0"] == ("drained", [])
-    whole, sizes = store.txn, []
+    txn, sizes = store.txn, []
 
-    def counted(compares, success, failure):
+    def record_size(compares, success, failure):
         sizes.append(max(len(compares), len(success), len(failure)))
-        return whole(compares, success, failure)
+        return txn(compares, success, failure)
 
-    store.txn = counted
+    store.txn = record_size
     fleet.do(fleet.operator.undrain_runner("p", "r0", "why"))
     assert max(sizes) <= 128
     assert not store.range(*KEYS.below("ack", "p", "r0"))
@@ -160,12 +163,12 @@
     rig = Rig(Loop(lambda name, exc: None), Schedule(1, FleetSpec(members=COUNT)), tmp_path)
     try:
         assert len({member.port for member in rig.members}) == COUNT
-        assert max(member.port for member in rig.members) < first_port_of_the_system()
+        assert max(member.port for member in rig.members) < first_ephemeral_port()
     finally:
         rig.close()
 
 
-def first_port_of_the_system():
-    """Of those that it gives connections by itself."""
+def first_ephemeral_port():
+    """Return the lowest port of the ephemeral range, which the system assigns to connections."""
     with open("/proc/sys/net/ipv4/ip_local_port_range") as file:
         return int(file.read().split()[0])
