--- a/pulleyroute/lab/fleet/__init__.py
+++ b/pulleyroute/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The rig: a fleet of real processes, a link on every arrow between two of them, and faults by schedule."""
+"""A test rig for fleets: real processes, links between them, and faults injected by a schedule."""
--- a/pulleyroute/lab/fleet/campaign.py
+++ b/pulleyroute/lab/fleet/campaign.py
@@ -1,4 +1,4 @@
-"""Runs of the rig by seed, one after another or several side by side, and what broke in them."""
+"""Campaigns: runs of the test rig by seed, several at a time, and the violations found in them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from pulleyroute.lab.fleet.checker import every_outage
+from pulleyroute.lab.fleet.checker import all_outages
 from pulleyroute.lab.fleet.rig import Rig
 from pulleyroute.lab.fleet.schedule import GENERATORS, Schedule
 from pulleyroute.net.loop import Coroutine, Loop
@@ -20,40 +20,43 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What became of one run. `out`: planned ways out that were seen; `endings`: of the clients' requests."""
+    """The result of one run. Its fields are the keys of the JSON object that the process of a run prints."""
 
     seed: int
     faults: int
-    broken: list[str]
-    out: int = 0
-    most_out: int = 0
-    drained: int = 0  # times that an operator was told that a runner is drained
-    ended: str = ""  # of a release: its version and how it ended
-    endings: dict[str, int] = field(default_factory=dict)
+    broken: list[str]  # the violations, one line each
+    out: int = 0  # planned outages observed
+    most_out: int = 0  # the most planned outages at the same time
+    drained: int = 0  # times that an operator saw a runner as drained
+    ended: str = ""  # of a release: its version and its final state
+    endings: dict[str, int] = field(default_factory=dict)  # number of client requests by ending
     log: list[str] = field(default_factory=list)
 
 
 def run_schedule(
     schedule: Schedule, program: list[str] | None = None, agreement: bool = True, keep: Path | None = None
 ) -> Outcome:
-    """One run in this process. `keep`: a folder that stays, with the logs of all processes."""
+    """Run a schedule in this process.
+
+    `keep`: a folder for the logs of all processes, which is not removed; by default a temporary one.
+    """
     errors: list[str] = []
-    loop = Loop(lambda name, exc: errors.append(f"the rig itself: {name}: {exc!r}"))
+    loop = Loop(lambda name, exc: errors.append(f"error in the test rig: {name}: {exc!r}"))
     with tempfile.TemporaryDirectory() as temporary:
         folder = keep or Path(temporary)
         folder.mkdir(parents=True, exist_ok=True)
         rig = Rig(loop, schedule, folder, program, agreement)
 
-        def whole() -> Coroutine[None]:
+        def run_and_stop() -> Coroutine[None]:
             try:
                 yield from rig.run()
             except Exception as exc:
-                errors.append(f"the rig itself: {exc!r}")
+                errors.append(f"error in the test rig: {exc!r}")
             finally:
                 loop.stop()
 
         try:
-            loop.spawn(whole(), "run")
+            loop.spawn(run_and_stop(), "run")
             loop.run()
             broken = rig.verdict() + errors
         finally:
@@ -62,64 +65,73 @@
 
 
 def _outcome(rig: Rig, schedule: Schedule, broken: list[str]) -> Outcome:
-    saw = rig.saw
-    planned = [each for each in every_outage(saw) if each.planned]
-    most = max(
-        (sum(1 for other in planned if other.start <= each.start <= other.end) for each in planned), default=0
+    observed = rig.observed
+    planned = [outage for outage in all_outages(observed) if outage.planned]
+    most_out = max(
+        (sum(1 for other in planned if other.start <= outage.start <= other.end) for outage in planned),
+        default=0,
     )
-    endings = dict(Counter(request.ending for request in saw.requests))
+    endings = dict(Counter(request.ending for request in observed.requests))
     return Outcome(
         schedule.seed,
         schedule.faults,
         broken,
         len(planned),
-        most,
-        len(saw.drained),
-        f"{saw.released} {saw.ended}".strip(),
+        most_out,
+        len(observed.drained),
+        f"{observed.released} {observed.ended}".strip(),
         endings,
         rig.log,
     )
 
 
 def run_campaign(
-    kind: str, seed: int, runs: int, jobs: int, tell: Callable[[Outcome], None], out: Path | None = None
+    kind: str, seed: int, runs: int, jobs: int, report: Callable[[Outcome], None], out: Path | None = None
 ) -> list[Outcome]:
-    """So many runs from a seed on, `jobs` of them side by side, each in a process of its own."""
-    waiting = list(range(seed, seed + runs))
-    going: list[tuple[int, subprocess.Popen[bytes]]] = []
-    ended: list[Outcome] = []
-    while waiting or going:
-        while waiting and len(going) < jobs:
-            each = waiting.pop(0)
-            going.append(
+    """Run `runs` seeds from `seed` on, `jobs` of them at a time, each in a process of its own."""
+    pending = list(range(seed, seed + runs))
+    running: list[tuple[int, subprocess.Popen[bytes]]] = []
+    outcomes: list[Outcome] = []
+    while pending or running:
+        while pending and len(running) < jobs:
+            next_seed = pending.pop(0)
+            running.append(
                 (
-                    each,
+                    next_seed,
                     subprocess.Popen(
                         [
                             sys.executable,
                             "-m",
                             "pulleyroute.lab.fleet.campaign",
                             kind,
-                            str(each),
-                            *([str(out / f"run-{each}")] if out is not None else []),
+                            str(next_seed),
+                            *([str(out / f"run-{next_seed}")] if out is not None else []),
                         ],
                         stdout=subprocess.PIPE,
                     ),
                 )
             )
-        number, process = going.pop(0)
+        run_seed, process = running.pop(0)
         data, _ = process.communicate()
         try:
             outcome = Outcome(**json.loads(data))
         except (ValueError, TypeError):
-            outcome = Outcome(number, 0, [f"the run ended with {process.returncode}: {data[-300:]!r}"])
-        ended.append(outcome)
-        tell(outcome)
-    return ended
+            outcome = Outcome(
+                run_seed,
+                0,
+                [f"the process of the run exited with status {process.returncode}: {data[-300:]!r}"],
+            )
+        outcomes.append(outcome)
+        report(outcome)
+    return outcomes
 
 
 def main() -> None:
-    # Guards the machine: a run that is told to end takes its processes with it.
+    """Run one seed of a campaign and print its outcome as JSON.
+
+    The arguments are the kind of the campaign, the seed, and optionally a folder for the logs.
+    """
+    # Exits through SystemExit, so that `run_schedule` ends the processes of the run.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     kind, seed = sys.argv[1], int(sys.argv[2])
     keep = Path(sys.argv[3]) if len(sys.argv) > 3 else None
--- a/pulleyroute/lab/fleet/rig.py
+++ b/pulleyroute/lab/fleet/rig.py
@@ -1,7 +1,8 @@
-"""A fleet of real processes on this machine, and the hand that hurts them.
+"""A test rig that runs a fleet of real processes on this machine and injects faults into it.
 
-Dispatchers, runners and the store are processes; clients, operators, links and the platform, which starts
-what ends, are coroutines here. Only processes started here are signalled, by id.
+Dispatchers, runners and the store are processes. Clients, operators, links and the platform, which restarts
+processes that have exited, are coroutines of this process. Signals go by process ID, and only to processes
+started here.
 """
 
 from __future__ import annotations
@@ -28,14 +29,14 @@
 from pulleyroute.fleet.operate import Operator
 from pulleyroute.fleet.records import Refused
 from pulleyroute.fleet.store import Client, Lost, Turned
-from pulleyroute.lab.fleet.checker import Asked, Limits, Look, Saw, judge
+from pulleyroute.lab.fleet.checker import ClientRequest, Limits, Observations, ReadinessProbe, check
 from pulleyroute.lab.fleet.schedule import (
     AWAIT_OUT,
     AWAIT_RESTARTS,
-    BAD,
-    GATHER,
+    BAD_VERSIONS,
     ONCE_DRAINED,
     ONCE_OUT,
+    STORE_GATHER,
     WAITS,
     Operation,
     Schedule,
@@ -51,18 +52,18 @@
 from pulleyroute.net.loop import Coroutine, Loop, Wait
 from pulleyroute.net.process import raise_descriptor_limit
 
-SECOND = 1_000_000
-PATIENCE = 90 * SECOND  # for what only a broken program keeps waiting for
-LOOK = 40_000  # between two looks at a member
-LOOK_TIME = 400_000  # a look that takes longer says nothing
-AGAIN = 300_000  # the platform starts what ended after so long
-ALONE = 5 * SECOND  # within which each restarts where nothing is agreed
-PORTS = 20_000  # the store's, then the members'
-FOREVER = 2**62
-PDEATHSIG = 1  # of prctl(2)
-GROUP, STATUS = "rig", 75
+SECOND = 1_000_000  # in microseconds
+RECOVERY_TIMEOUT_US = 90 * SECOND  # for conditions that are always met unless the program is faulty
+PROBE_INTERVAL_US = 40_000  # between readiness probes of a member
+PROBE_TIMEOUT_US = 400_000  # a probe that takes longer has no result
+RESTART_DELAY_US = 300_000  # from the exit of a member's process to its restart by the platform
+UNCOORDINATED_SPREAD_US = 5 * SECOND  # the time over which restarts are spread in a fleet without agreement
+FIRST_PORT = 20_000  # the port of the store; those of the members follow
+NEVER = 2**62  # a time that is not reached
+PR_SET_PDEATHSIG = 1  # of prctl(2)
+GROUP, RESTART_STATUS = "rig", 75
 EMULATE = [sys.executable, "-m", "pulleyroute.cli", "emulate"]
-KINDS = {"look": "safe", "charge": "unsafe"}
+CLASS_EFFECTS = {"look": "safe", "charge": "unsafe"}  # by job class
 
 CONFIG = """
 name = "{name}"
@@ -120,36 +121,37 @@
 
 @dataclass(slots=True)
 class Member:
-    """A dispatcher's place: its process, its links, what the platform knows of it."""
+    """A member of the fleet: its process, its links, and the platform's state for it."""
 
     number: int
     port: int
-    clients: Link
-    callbacks: Link
-    store: Link
-    runners: list[Link] = field(default_factory=list)
+    client_link: Link
+    callback_link: Link
+    store_link: Link
+    runner_links: list[Link] = field(default_factory=list)
     process: subprocess.Popen[bytes] | None = None
-    stopped_at: int | None = None
+    stopped_at: int | None = None  # when SIGSTOP was sent to it
     ready: bool = False
     version: str = "v1"
-    again_at: int = 0
-    good: str = "v1"  # the version before, that was ready once
-    born_ready: bool = False  # this process has been ready
-    crash_at: int = 0  # when its version brings this process down
-    failures: int = 0  # processes in a row that never were
+    restart_at: int = 0
+    last_good_version: str = "v1"  # the version before, which has been ready
+    has_been_ready: bool = False  # whether this process has been ready
+    crash_at: int = 0  # when its version crashes this process
+    failed_starts: int = 0  # consecutive processes that were never ready
 
     @property
     def name(self) -> str:
+        """Return the name of the member in the fleet."""
         return f"d{self.number}"
 
 
-def _with_parent() -> None:
-    """Guards the machine: whoever kills a run takes its processes with it."""
-    ctypes.CDLL(None).prctl(PDEATHSIG, signal.SIGKILL)
+def _die_with_parent() -> None:
+    """Have the kernel kill this process when its parent dies, so that a killed run leaves none behind."""
+    ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Rig:
-    """One run; owns all processes, links and what was seen."""
+    """One run. Owns all processes and links, and the observations."""
 
     def __init__(
         self,
@@ -159,63 +161,75 @@
         program: list[str] | None = None,
         agreement: bool = True,
     ) -> None:
-        """`program`: what a dispatcher is started with; `agreement` False leaves the fleet block out."""
-        raise_descriptor_limit()  # each member has three links here and one more for each runner
+        """Open the links, and start no process yet.
+
+        `program`: the command that starts a dispatcher. Without `agreement` the dispatchers have no `fleet`
+        block in their configuration.
+        """
+        raise_descriptor_limit()  # each member has three links here, and one for each runner
         self.loop, self.schedule, self.folder = loop, schedule, folder
         self._spec = schedule.spec
         self._program = program or [sys.executable, "-m", "pulleyroute.cli", "serve"]
         self._agreement = agreement
         self._pool = BufferPool()
         self._random = Random(schedule.seed)
-        self.saw = Saw()
+        self.observed = Observations()
         self.log: list[str] = []
-        self._began = loop.now()
-        self._store: subprocess.Popen[bytes] | None = None
-        # Guards runs side by side, and against connections whose own ends take the ports that were chosen: an
-        # address of this process alone, and ports that the system gives nobody by itself.
+        self._started_at = loop.now()
+        self._store_process: subprocess.Popen[bytes] | None = None
+        # The address is derived from the process ID, so that runs side by side have different ones. The ports
+        # lie below the ephemeral range, where the local end of a connection could take one of them.
         pid = os.getpid()
         self.host = f"127.{1 + (pid >> 16) % 250}.{(pid >> 8) % 256}.{pid % 254 + 1}"
-        self._store_port = PORTS
-        self._runners: list[subprocess.Popen[bytes]] = []
-        self._over = False  # the load ends
-        self._drained: dict[str, int] = {}  # runners by when the operator was first told so
-        self._promised_from: dict[str, int] = {}  # looks asked for before this say nothing of a runner
-        self._out = 0  # requests out
+        self._store_port = FIRST_PORT
+        self._runner_processes: list[subprocess.Popen[bytes]] = []
+        self._load_stopped = False
+        self._drained_since: dict[str, int] = {}  # by runner: when an operator first saw it as drained
+        # By runner: answers to an operator that were requested before this time do not count for it.
+        self._drained_valid_from: dict[str, int] = {}
+        self._pending_requests = 0  # of clients
         self._links: list[Link] = []
-        self._hand = self._link(self._store_port)
+        self._operator_link = self._add_link(self._store_port)
         self.members = [
-            Member(number, port, self._link(port), self._link(port), self._link(self._store_port))
+            Member(number, port, self._add_link(port), self._add_link(port), self._add_link(self._store_port))
             for number in range(self._spec.members)
-            for port in [PORTS + 1 + number]
+            for port in [FIRST_PORT + 1 + number]
         ]
-        client = Client(loop, self._pool, [self._hand.address], schedule.seed)
+        client = Client(loop, self._pool, [self._operator_link.address], schedule.seed)
         self.operator = Operator(loop, client, GROUP, "operator", schedule.seed)
 
-    def _link(self, port: int) -> Link:
+    def _add_link(self, port: int) -> Link:
         link = Link(self.loop, (self.host, port))
         self._links.append(link)
         return link
 
     def note(self, text: str) -> None:
-        self.log.append(f"{(self.loop.now() - self._began) / SECOND:8.3f} s  {text}")
+        """Add a line with the time of the run to its log."""
+        self.log.append(f"{(self.loop.now() - self._started_at) / SECOND:8.3f} s  {text}")
 
     # Starting
 
-    def _process(self, command: list[str], log: str, says: bool = False) -> subprocess.Popen[bytes]:
-        """A process with its errors in a file; `says`: its output is read here."""
+    def _spawn_process(
+        self, command: list[str], log: str, capture_output: bool = False
+    ) -> subprocess.Popen[bytes]:
+        """Start a process with its standard error in a file, and standard output in a pipe if captured."""
         with (self.folder / log).open("ab") as err:
             return subprocess.Popen(
-                command, stdout=subprocess.PIPE if says else None, stderr=err, preexec_fn=_with_parent
+                command,
+                stdout=subprocess.PIPE if capture_output else None,
+                stderr=err,
+                preexec_fn=_die_with_parent,
             )
 
     def _start_store(self) -> None:
-        self._store = self._process(
+        self._store_process = self._spawn_process(
             [*EMULATE, "store", f"{self.host}:{self._store_port}", "--log", str(self.folder / "store.log")],
             "store.err",
-            says=True,
+            capture_output=True,
         )
 
     def _start_runner(self, number: int) -> list[tuple[str, int]]:
+        """Start a runner and return its addresses, one for each member."""
         command = [
             *EMULATE,
             "runner",
@@ -228,22 +242,25 @@
             str(self._spec.mean_job_ms),
         ]
         for member in self.members:
-            command += ["--callback", "{}:{}".format(*member.callbacks.address)]
-        process = self._process(command, "runners.err", says=True)
-        self._runners.append(process)
+            command += ["--callback", "{}:{}".format(*member.callback_link.address)]
+        process = self._spawn_process(command, "runners.err", capture_output=True)
+        self._runner_processes.append(process)
         assert process.stdout is not None
         return [tuple(address) for address in json.loads(process.stdout.readline())]
 
-    def _configure(self, member: Member) -> Path:
-        spec, works = self._spec, not member.version.endswith("errs")
-        places = [(link.address[0], link.address[1] if works else 1) for link in member.runners]
+    def _write_config(self, member: Member) -> Path:
+        """Write the configuration of a member and return its path; bad versions get a faulty one."""
+        spec, jobs_succeed = self._spec, not member.version.endswith("errs")
+        addresses = [
+            (link.address[0], link.address[1] if jobs_succeed else 1) for link in member.runner_links
+        ]
         instances = "".join(
             f'  instance "r{i}" {{\n    address = "{host}:{port}"\n  }}\n'
-            for i, (host, port) in enumerate(places)
+            for i, (host, port) in enumerate(addresses)
         )
         fleet = (
             FLEET.format(
-                store="{}:{}".format(*member.store.address),
+                store="{}:{}".format(*member.store_link.address),
                 group=GROUP,
                 zone=spec.zone(member.number),
                 version=member.version,
@@ -252,7 +269,7 @@
                 out=spec.max_out,
                 out_zone=spec.max_out_per_zone,
                 least=spec.min_serving,
-                status=STATUS,
+                status=RESTART_STATUS,
                 version_file=self.folder / f"{member.name}.version",
             )
             if self._agreement
@@ -273,100 +290,108 @@
         return path
 
     def start_member(self, member: Member) -> None:
-        member.born_ready = False
-        path = self._configure(member)
-        self.saw.born.append(self.loop.now())
-        self._hurt(member)
-        member.process = self._process([*self._program, "--config", str(path)], f"{member.name}.log")
+        """Write the configuration of a member and start its process."""
+        member.has_been_ready = False
+        path = self._write_config(member)
+        self.observed.process_starts.append(self.loop.now())
+        self._record_disturbance(member)
+        member.process = self._spawn_process([*self._program, "--config", str(path)], f"{member.name}.log")
 
-    def _hurt(self, member: Member) -> None:
-        self.saw.hurt.setdefault(member.number, []).append(self.loop.now())
+    def _record_disturbance(self, member: Member) -> None:
+        self.observed.disturbed.setdefault(member.number, []).append(self.loop.now())
 
     # The platform
 
-    def _platform(self) -> Coroutine[None]:
-        """Start again whatever has ended."""
+    def _run_platform(self) -> Coroutine[None]:
+        """Restart the members whose processes have exited, as the platform does."""
         while True:
             now = self.loop.now()
             for member in self.members:
                 process = member.process
                 if process is None:
-                    if member.again_at and now >= member.again_at:
-                        member.again_at = 0
-                        self._start_planned(member)
-                elif member.version.endswith("crashes") and member.born_ready and process.poll() is None:
+                    if member.restart_at and now >= member.restart_at:
+                        member.restart_at = 0
+                        self._restart_member(member)
+                elif member.version.endswith("crashes") and member.has_been_ready and process.poll() is None:
                     member.crash_at = member.crash_at or now + 3 * SECOND
                     if now >= member.crash_at and member.stopped_at is None:
-                        self._hurt(member)
+                        self._record_disturbance(member)
                         process.kill()
                 elif process.poll() is not None:
                     member.crash_at = 0
                     status = process.returncode
-                    hurt = any(
-                        at > now - 10 * SECOND for at in self.saw.hurt.get(member.number, [])
-                    ) or member.version.endswith(BAD)
-                    self.saw.exits.append((member.number, status, hurt))
+                    after_fault = any(
+                        at > now - 10 * SECOND for at in self.observed.disturbed.get(member.number, [])
+                    ) or member.version.endswith(BAD_VERSIONS)
+                    self.observed.exits.append((member.number, status, after_fault))
                     self.note(f"{member.name} as {member.version} ended with {status}")
-                    if member.born_ready:
-                        member.failures = 0
-                    elif status != STATUS:
-                        member.failures += 1
-                        if member.failures >= 3:
-                            # As platforms do: what does not come up is put back to what did.
-                            self.note(f"{member.name} is put back to {member.good}")
-                            member.version, member.failures = member.good, 0
-                    told = self.folder / f"{member.name}.version"
-                    if status == STATUS and told.exists():
-                        member.good, member.version = member.version, told.read_text().strip()
-                        told.unlink()
-                    member.process, member.again_at = None, now + AGAIN
-            yield Wait(until=now + LOOK // 2)
-
-    def _start_planned(self, member: Member) -> None:
-        """After a planned end the start is part of the same way out; only what was hurt is hurt anew."""
-        hurt = self.saw.hurt.setdefault(member.number, [])
-        before = list(hurt)
+                    if member.has_been_ready:
+                        member.failed_starts = 0
+                    elif status != RESTART_STATUS:
+                        member.failed_starts += 1
+                        if member.failed_starts >= 3:
+                            # Platforms commonly roll back a version that does not start.
+                            self.note(f"{member.name} is rolled back to {member.last_good_version}")
+                            member.version, member.failed_starts = member.last_good_version, 0
+                    version_file = self.folder / f"{member.name}.version"
+                    if status == RESTART_STATUS and version_file.exists():
+                        member.last_good_version, member.version = (
+                            member.version,
+                            version_file.read_text().strip(),
+                        )
+                        version_file.unlink()
+                    member.process, member.restart_at = None, now + RESTART_DELAY_US
+            yield Wait(until=now + PROBE_INTERVAL_US // 2)
+
+    def _restart_member(self, member: Member) -> None:
+        """Start a member again.
+
+        The start after a planned exit belongs to the same planned outage, so it is not recorded as a
+        disturbance.
+        """
+        disturbed = self.observed.disturbed.setdefault(member.number, [])
+        before = list(disturbed)
         self.start_member(member)
-        if self.saw.exits and self.saw.exits[-1][1] == (STATUS if self._agreement else 0):
-            hurt[:] = before
+        if self.observed.exits and self.observed.exits[-1][1] == (RESTART_STATUS if self._agreement else 0):
+            disturbed[:] = before
 
-    def _looking(self, member: Member) -> Coroutine[None]:
-        """Ask a member all the time whether it wants clients, past every link."""
-        looks = self.saw.looks.setdefault(member.number, [])
+    def _probe_readiness(self, member: Member) -> Coroutine[None]:
+        """Probe the readiness of a member throughout the run, not through its links."""
+        probes = self.observed.probes.setdefault(member.number, [])
         while True:
-            asked, stream, ready = self.loop.now(), None, None
-            place, until = (self.host, member.port), asked + LOOK_TIME
+            sent_at, stream, ready = self.loop.now(), None, None
+            address, until = (self.host, member.port), sent_at + PROBE_TIMEOUT_US
             try:
-                stream = yield from connect(self.loop, self._pool, place, until)
+                stream = yield from connect(self.loop, self._pool, address, until)
                 ready = (yield from exchange(stream, b"GET", b"/-/ready", until)).status == 200
             except ConnectionFailed:
-                # Refused: nobody listens. A connection that broke later says nothing of readiness.
+                # A refused connection shows that the member is not ready; one that broke later shows nothing.
                 ready = False if stream is None else None
             except (ConnectionLimitReached, DeadlineExceeded, Malformed):
                 pass
             if ready is not None:
-                looks.append(Look(asked, self.loop.now(), ready))
-                member.born_ready = member.born_ready or ready
+                probes.append(ReadinessProbe(sent_at, self.loop.now(), ready))
+                member.has_been_ready = member.has_been_ready or ready
                 member.ready = ready
-            yield Wait(until=max(self.loop.now(), asked + LOOK))
+            yield Wait(until=max(self.loop.now(), sent_at + PROBE_INTERVAL_US))
 
     # Clients
 
-    def _loading(self) -> Coroutine[None]:
+    def _generate_load(self) -> Coroutine[None]:
         count = 0
-        while not self._over:
+        while not self._load_stopped:
             yield Wait(until=self.loop.now() + int(self._random.expovariate(self._spec.rate) * SECOND))
-            wanted = [member for member in self.members if member.ready] or self.members
-            kind = self._random.choice(list(KINDS))
-            self.loop.spawn(self._asking(f"t{count}", kind, self._random.choice(wanted)), "client")
+            candidates = [member for member in self.members if member.ready] or self.members
+            kind = self._random.choice(list(CLASS_EFFECTS))
+            self.loop.spawn(self._send_request(f"t{count}", kind, self._random.choice(candidates)), "client")
             count += 1
 
-    def _asking(self, txn: str, kind: str, member: Member) -> Coroutine[None]:
+    def _send_request(self, txn: str, kind: str, member: Member) -> Coroutine[None]:
         at, stream, ending, sent = self.loop.now(), None, "lost", False
         until = at + self._spec.give_up + SECOND
-        self._out += 1
+        self._pending_requests += 1
         try:
-            stream = yield from connect(self.loop, self._pool, member.clients.address, until)
+            stream = yield from connect(self.loop, self._pool, member.client_link.address, until)
             head = h11.Request(
                 method=b"POST",
                 target=f"/{kind}".encode(),
@@ -382,179 +407,195 @@
             answer = yield from stream.response(until)
             ending = {200: "served", 429: "refused", 503: "refused"}.get(answer.status, "failed")
         except (ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, Malformed):
-            # A connection that ends with nothing read of it is not a job taken: the client comes again.
-            ending = "lost" if sent and self.loop.now() - at > LOOK else "turned"
+            # A connection that fails before the request is sent, or at once after that, has taken no job: a
+            # client would try again.
+            ending = "lost" if sent and self.loop.now() - at > PROBE_INTERVAL_US else "turned"
         finally:
             if stream is not None:
                 stream.close()
-            self._out -= 1
-        self.saw.requests.append(Asked(txn, kind, member.number, at, self.loop.now(), ending))
+            self._pending_requests -= 1
+        self.observed.requests.append(ClientRequest(txn, kind, member.number, at, self.loop.now(), ending))
 
-    # Deeds
+    # Operations
 
-    def _do(self, deed: Operation) -> None:
-        self.note(str(deed))
-        if deed.what in WAITS:
+    def _apply(self, operation: Operation) -> None:
+        self.note(str(operation))
+        if operation.kind in WAITS:
             return
-        if deed.what.startswith("store-") and deed.who < 0:
-            self._hurt_store(deed)
+        if operation.kind.startswith("store-") and operation.target < 0:
+            self._inject_store_fault(operation)
             return
-        if deed.what.startswith("release"):
-            self.loop.spawn(self._releasing(deed), "operator")
+        if operation.kind.startswith("release"):
+            self.loop.spawn(self._operate_release(operation), "operator")
             return
-        if deed.what in ("kill-leader", "stop-leader"):
-            self.loop.spawn(self._hurting_leader(deed), "platform")
+        if operation.kind in ("kill-leader", "stop-leader"):
+            self.loop.spawn(self._fault_leader(operation), "platform")
             return
-        if deed.what in ("box-drain", "box-undrain"):
-            box = f"r{deed.who}"
-            self.loop.spawn(self._operating(deed, box, lambda: self._boxing(deed, box)), "operator")
+        if operation.kind in ("box-drain", "box-undrain"):
+            runner = f"r{operation.target}"
+            self.loop.spawn(
+                self._call_operator(operation, runner, lambda: self._operate_runner(operation, runner)),
+                "operator",
+            )
             return
-        member = self.members[deed.who]
-        if deed.what == "wish" and not self._agreement:
-            self._after(int(self._random.random() * ALONE), lambda: self._restart_alone(member))
-        elif deed.what in ("wish", "undrain"):
-            call = self._operating(deed, member.name, lambda: self._wishing(deed, member))
+        member = self.members[operation.target]
+        if operation.kind == "wish" and not self._agreement:
+            self._call_later(
+                int(self._random.random() * UNCOORDINATED_SPREAD_US),
+                lambda: self._restart_uncoordinated(member),
+            )
+        elif operation.kind in ("wish", "undrain"):
+            call = self._call_operator(
+                operation, member.name, lambda: self._request_member(operation, member)
+            )
             self.loop.spawn(call, "operator")
-        elif deed.what in ("kill", "term"):
+        elif operation.kind in ("kill", "term"):
             if member.process is not None:
-                self._hurt(member)
+                self._record_disturbance(member)
                 if member.stopped_at is not None:
-                    self._go_on(member)
-                member.process.send_signal(signal.SIGKILL if deed.what == "kill" else signal.SIGTERM)
-        elif deed.what == "stop":
+                    self._continue_member(member)
+                member.process.send_signal(signal.SIGKILL if operation.kind == "kill" else signal.SIGTERM)
+        elif operation.kind == "stop":
             if member.process is not None and member.stopped_at is None:
-                self._hurt(member)
+                self._record_disturbance(member)
                 member.stopped_at = self.loop.now()
                 member.process.send_signal(signal.SIGSTOP)
-                if deed.span:
-                    self._after(deed.span, lambda: self._go_on(member))
-        elif deed.what == "go-on":
-            self._go_on(member)
-        elif deed.what == "store-cut":
-            member.store.cut(deed.more in ("both", "up"), deed.more in ("both", "down"))
-            self._after(deed.span, member.store.heal)
-        elif deed.what == "store-delay":
-            member.store.delay = 300_000
-            self._after(deed.span, member.store.heal)
-        elif deed.what == "runner-cut":
+                if operation.duration:
+                    self._call_later(operation.duration, lambda: self._continue_member(member))
+        elif operation.kind == "go-on":
+            self._continue_member(member)
+        elif operation.kind == "store-cut":
+            member.store_link.cut(
+                operation.argument in ("both", "up"), operation.argument in ("both", "down")
+            )
+            self._call_later(operation.duration, member.store_link.heal)
+        elif operation.kind == "store-delay":
+            member.store_link.delay = 300_000
+            self._call_later(operation.duration, member.store_link.heal)
+        elif operation.kind == "runner-cut":
             now = self.loop.now()
-            for link in member.runners:
+            for link in member.runner_links:
                 link.cut()
-                self._after(deed.span, link.heal)
-            self.saw.cut.setdefault(deed.who, []).append((now, now + deed.span + self._spec.give_up + SECOND))
-        elif deed.what == "client-reset":
+                self._call_later(operation.duration, link.heal)
+            self.observed.cut.setdefault(operation.target, []).append(
+                (now, now + operation.duration + self._spec.give_up + SECOND)
+            )
+        elif operation.kind == "client-reset":
             now = self.loop.now()
-            self.saw.cut.setdefault(deed.who, []).append((now - SECOND, now + SECOND))
-            member.clients.reset()
+            self.observed.cut.setdefault(operation.target, []).append((now - SECOND, now + SECOND))
+            member.client_link.reset()
 
-    def _restart_alone(self, member: Member) -> None:
-        """A restart that nobody has agreed on: as planned as any."""
+    def _restart_uncoordinated(self, member: Member) -> None:
+        """Restart a member without agreement; the outage counts as planned."""
         if member.process is not None:
             member.process.send_signal(signal.SIGTERM)
 
-    def _hurting_leader(self, deed: Operation) -> Coroutine[None]:
+    def _fault_leader(self, operation: Operation) -> Coroutine[None]:
+        """Kill or stop the member that leads, if one does."""
         with contextlib.suppress(Lost, Turned):
             known, _ = yield from self.operator.look()
             for name, token in known.tokens.items():
                 if token == known.lead:
-                    self._do(replace(deed, what=deed.what[:4], who=int(name[1:])))
+                    self._apply(replace(operation, kind=operation.kind[:4], target=int(name[1:])))
 
-    def _after(self, span: int, action: Callable[[], None]) -> None:
-        self.loop.call_at(self.loop.now() + span, action)
+    def _call_later(self, delay: int, action: Callable[[], None]) -> None:
+        self.loop.call_at(self.loop.now() + delay, action)
 
-    def _go_on(self, member: Member) -> None:
+    def _continue_member(self, member: Member) -> None:
         if member.stopped_at is None:
             return
-        began, member.stopped_at = member.stopped_at, None
-        self.saw.stopped.setdefault(member.number, []).append((began, self.loop.now()))
-        self._hurt(member)
+        stopped_at, member.stopped_at = member.stopped_at, None
+        self.observed.stopped.setdefault(member.number, []).append((stopped_at, self.loop.now()))
+        self._record_disturbance(member)
         if member.process is not None:
             member.process.send_signal(signal.SIGCONT)
 
-    def _hurt_store(self, deed: Operation) -> None:
-        began = self.loop.now()
+    def _inject_store_fault(self, operation: Operation) -> None:
+        started_at = self.loop.now()
 
-        def over() -> None:
-            self.saw.store.append((began, self.loop.now()))
+        def record_end() -> None:
+            self.observed.store_faults.append((started_at, self.loop.now()))
 
-        process = self._store
-        if deed.what == "store-kill" and process is not None:
-            self._store = None
+        process = self._store_process
+        if operation.kind == "store-kill" and process is not None:
+            self._store_process = None
             process.kill()
             process.wait()
 
-            def again() -> None:
+            def restart() -> None:
                 self._start_store()
-                over()
+                record_end()
 
-            self._after(deed.span, again)
-        elif deed.what == "store-stop" and process is not None:
+            self._call_later(operation.duration, restart)
+        elif operation.kind == "store-stop" and process is not None:
             process.send_signal(signal.SIGSTOP)
 
-            def go_on() -> None:
+            def resume() -> None:
                 process.send_signal(signal.SIGCONT)
-                over()
+                record_end()
 
-            self._after(deed.span, go_on)
-        elif deed.what.startswith("store-"):
-            known: dict[str, dict[str, Any]] = {
+            self._call_later(operation.duration, resume)
+        elif operation.kind.startswith("store-"):
+            faults_by_kind: dict[str, dict[str, Any]] = {
                 "store-leaderless": {"leaderless": True},
                 "store-lose": {"lose_answers": 2},
                 "store-silent": {"silent_watches": True},
                 "store-slow": {"slow": 300_000},
-                GATHER: {"gather": self._spec.members, "gather_under": f"/pulleyroute/{GROUP}/permit/"},
+                STORE_GATHER: {"gather": self._spec.members, "gather_under": f"/pulleyroute/{GROUP}/permit/"},
             }
-            faults = known.get(deed.what)
+            faults = faults_by_kind.get(operation.kind)
             if faults is None:
-                return  # a kill or a stop of a store that is down
-            self.loop.spawn(self.tell_store(faults), "faults")
-            if deed.span:
+                return  # the store is down: there is no process to kill or stop
+            self.loop.spawn(self.set_store_faults(faults), "faults")
+            if operation.duration:
 
                 def heal() -> None:
-                    self.loop.spawn(self.tell_store({}), "faults")
-                    over()
+                    self.loop.spawn(self.set_store_faults({}), "faults")
+                    record_end()
 
-                self._after(deed.span, heal)
+                self._call_later(operation.duration, heal)
 
-    def tell_store(self, faults: dict[str, Any]) -> Coroutine[None]:
-        """What the store is to do wrong from now on."""
+    def set_store_faults(self, faults: dict[str, Any]) -> Coroutine[None]:
+        """Replace the faults that the store injects."""
         until = self.loop.now() + 2 * SECOND
         with contextlib.suppress(ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, Malformed):
             stream = yield from connect(self.loop, self._pool, (self.host, self._store_port), until)
             yield from exchange(stream, b"POST", b"/faults", until, json.dumps(faults).encode())
 
-    def _operating(self, deed: Operation, name: str, call: Callable[[], Coroutine[None]]) -> Coroutine[None]:
-        """One operator's call, made again while it is lost where the schedule says that operators insist."""
-        end = self.loop.now() + (PATIENCE if self.schedule.insists else 0)
+    def _call_operator(
+        self, operation: Operation, name: str, call: Callable[[], Coroutine[None]]
+    ) -> Coroutine[None]:
+        """Make an operator's call, and repeat it while it is lost if the schedule says so."""
+        end = self.loop.now() + (RECOVERY_TIMEOUT_US if self.schedule.retry_lost_calls else 0)
         while True:
             try:
                 yield from call()
                 return
             except Lost as exc:
-                self.note(f"operator: {deed.what} {name}: {exc}")
+                self.note(f"operator: {operation.kind} {name}: {exc}")
                 if self.loop.now() >= end:
                     return
             except (Turned, Refused) as exc:
-                self.note(f"operator: {deed.what} {name}: {exc}")
+                self.note(f"operator: {operation.kind} {name}: {exc}")
                 return
-            yield Wait(until=self.loop.now() + LOOK)
+            yield Wait(until=self.loop.now() + PROBE_INTERVAL_US)
 
-    def _wishing(self, deed: Operation, member: Member) -> Coroutine[None]:
-        if deed.what == "undrain":
+    def _request_member(self, operation: Operation, member: Member) -> Coroutine[None]:
+        if operation.kind == "undrain":
             return self.operator.undrain(member.name, "as planned")
-        if deed.more == "restart":
-            return self.operator.drain(member.name, "restart", "as planned", f"v{deed.at}")
+        if operation.argument == "restart":
+            return self.operator.drain(member.name, "restart", "as planned", f"v{operation.at}")
         return self.operator.drain(member.name, "standby", "as planned")
 
-    def _boxing(self, deed: Operation, box: str) -> Coroutine[None]:
-        if deed.what == "box-undrain":
-            return self._undrain_box("boxes", box)
-        return self.operator.drain_runner("boxes", box, "as planned")
+    def _operate_runner(self, operation: Operation, runner: str) -> Coroutine[None]:
+        if operation.kind == "box-undrain":
+            return self._undrain_runner("boxes", runner)
+        return self.operator.drain_runner("boxes", runner, "as planned")
 
-    def _releasing(self, deed: Operation) -> Coroutine[None]:
+    def _operate_release(self, operation: Operation) -> Coroutine[None]:
         plan = release.Plan(
-            f"r{deed.at}",
-            deed.more,
+            f"r{operation.at}",
+            operation.argument,
             (Part(count=1), Part(share=0.5), Part(share=1.0)),
             at_once=2,
             soak=5 * SECOND,
@@ -562,121 +603,127 @@
             on_failure="back",
         )
         try:
-            if deed.what == "release":
+            if operation.kind == "release":
                 yield from self.operator.start(plan)
                 return
             to = {
                 "release-halt": release.State.HALTED,
                 "release-resume": release.State.RUNNING,
                 "release-back": release.State.BACKING,
-            }[deed.what]
+            }[operation.kind]
             yield from self.operator.move(to, "by hand")
         except (Lost, Turned, Refused) as exc:
-            self.note(f"operator: {deed.what}: {exc}")
+            self.note(f"operator: {operation.kind}: {exc}")
 
     def _end_release(self) -> Coroutine[None]:
-        """Wait until the release in hand has ended; a halted one is taken back."""
-        end = self.loop.now() + 2 * PATIENCE
+        """Wait until the current release has ended; takes back a halted one."""
+        end = self.loop.now() + 2 * RECOVERY_TIMEOUT_US
         while self.loop.now() < end:
             with contextlib.suppress(Lost, Turned, Refused):
                 known, _ = yield from self.operator.look()
                 if known.release is None:
                     return
-                self.saw.released, self.saw.ended = known.release.version, known.release.state
+                self.observed.released, self.observed.ended = known.release.version, known.release.state
                 if known.release.state in ("done", "back"):
                     return
                 if known.release.state == "halted":
-                    self.note(f"halted: {known.release.why}")
+                    self.note(f"release halted: {known.release.why}")
                     yield from self.operator.move(release.State.BACKING, "the run ends")
             yield Wait(until=self.loop.now() + SECOND // 2)
 
-    def _undrain_box(self, pool: str, box: str) -> Coroutine[None]:
-        """Take a drain back: nothing is promised until a look that is asked for after it."""
-        self._undrained(box)
-        # Guards the verdict against a look that a slow store answers late: it tells of the time before.
-        self._promised_from[box] = FOREVER
+    def _undrain_runner(self, pool: str, runner: str) -> Coroutine[None]:
+        """End the drain of a runner.
+
+        An operator's view of the runner counts again once it is requested after this call.
+        """
+        self._end_drained_interval(runner)
+        # An answer that a slow store delays until after the call may still show the runner as drained.
+        self._drained_valid_from[runner] = NEVER
         settled = True
         try:
-            yield from self.operator.undrain_runner(pool, box, "as planned")
+            yield from self.operator.undrain_runner(pool, runner, "as planned")
         except Lost as exc:
-            settled = not exc.maybe  # else it may be done at any time yet, and nothing is promised any more
+            settled = not exc.maybe  # otherwise the call may yet take effect at any time
             raise
         finally:
             if settled:
-                self._promised_from[box] = self.loop.now()
+                self._drained_valid_from[runner] = self.loop.now()
 
-    def _undrained(self, box: str) -> None:
-        began = self._drained.pop(box, None)
-        if began is not None:
-            self.saw.drained.append((box, began, self.loop.now()))
+    def _end_drained_interval(self, runner: str) -> None:
+        since = self._drained_since.pop(runner, None)
+        if since is not None:
+            self.observed.drained.append((runner, since, self.loop.now()))
 
-    def _watching(self) -> Coroutine[None]:
-        """What the operator is told of drained runners: a promise that the runners' book is held against."""
+    def _observe_drained_runners(self) -> Coroutine[None]:
+        """Record which runners an operator sees as drained, to be compared with the runners' own records."""
         while True:
-            asked = self.loop.now()
+            requested_at = self.loop.now()
             with contextlib.suppress(Lost, Turned):
                 rows = yield from self.operator.runners()
                 now = self.loop.now()
                 drained = {
                     row["name"]
                     for row in rows
-                    if row["state"] == "drained" and asked >= self._promised_from.get(row["name"], 0)
+                    if row["state"] == "drained"
+                    and requested_at >= self._drained_valid_from.get(row["name"], 0)
                 }
-                for box in drained - set(self._drained):
-                    self._drained[box] = now
-                for box in set(self._drained) - drained:
-                    self._undrained(box)
+                for runner in drained - set(self._drained_since):
+                    self._drained_since[runner] = now
+                for runner in set(self._drained_since) - drained:
+                    self._end_drained_interval(runner)
             yield Wait(until=self.loop.now() + SECOND // 5)
 
     # A run
 
     def run(self) -> Coroutine[None]:
-        """Start, play the schedule, heal everything, and wait until all members want clients again."""
+        """Start the fleet, apply the schedule, end all faults, and wait until all members are ready again."""
         self._start_store()
-        store, spec = self._store, self._spec
+        store, spec = self._store_process, self._spec
         assert store is not None and store.stdout is not None
         store.stdout.readline()
         addresses = [self._start_runner(number) for number in range(spec.runners)]
         for member in self.members:
             for number in range(spec.runners):
                 link = Link(self.loop, addresses[number][member.number])
-                member.runners.append(link)
+                member.runner_links.append(link)
                 self._links.append(link)
             self.start_member(member)
-            self.loop.spawn(self._looking(member), "look")
-        self.loop.spawn(self._platform(), "platform")
-        yield from self._until(self._all_ready)
+            self.loop.spawn(self._probe_readiness(member), "probe")
+        self.loop.spawn(self._run_platform(), "platform")
+        yield from self._wait_for(self._all_ready)
         if self._agreement:
-            yield from self._until_joined()
-            self.loop.spawn(self._watching(), "watch")
-        self.loop.spawn(self._loading(), "load")
-        self._began = self.loop.now()
-        for deed in self.schedule.operations:
-            yield Wait(until=self._began + deed.at)
-            yield from self._until_due(deed)
-            self._do(deed)
-        yield Wait(until=self._began + spec.duration)
-        yield from self._calm()
-
-    def _calm(self) -> Coroutine[None]:
-        """All faults over and all wishes taken back: then everybody has to come back."""
-        self.note("all is healed")
-        last = max((deed.at + deed.span for deed in self.schedule.operations), default=0)
-        yield Wait(until=max(self.loop.now(), self._began + last + SECOND))
+            yield from self._wait_until_joined()
+            self.loop.spawn(self._observe_drained_runners(), "drained runners")
+        self.loop.spawn(self._generate_load(), "load")
+        self._started_at = self.loop.now()
+        for operation in self.schedule.operations:
+            yield Wait(until=self._started_at + operation.at)
+            yield from self._wait_until_due(operation)
+            self._apply(operation)
+        yield Wait(until=self._started_at + spec.duration)
+        yield from self._heal_and_recover()
+
+    def _heal_and_recover(self) -> Coroutine[None]:
+        """End all faults and withdraw all requests, and wait for every member to return."""
+        self.note("all faults ended")
+        last_end = max(
+            (operation.at + operation.duration for operation in self.schedule.operations), default=0
+        )
+        yield Wait(until=max(self.loop.now(), self._started_at + last_end + SECOND))
         for link in self._links:
             link.heal()
         if self._agreement:
             yield from self._end_release()
-        end = self.loop.now() + PATIENCE
+        end = self.loop.now() + RECOVERY_TIMEOUT_US
         while self._agreement:
             try:
                 known, _ = yield from self.operator.look()
                 for name in known.wishes:
                     with contextlib.suppress(Refused):
                         yield from self.operator.undrain(name, "the run ends")
-                for pool, box in {*known.wants, *known.marks}:
+                for pool, runner in {*known.wants, *known.marks}:
                     with contextlib.suppress(Refused):
-                        yield from self._undrain_box(pool, box)
+                        yield from self._undrain_runner(pool, runner)
                 if self._all_ready() and not (known.wishes or known.permits or known.wants or known.marks):
                     break
             except (Lost, Turned):
@@ -685,75 +732,81 @@
                 break
             yield Wait(until=self.loop.now() + SECOND // 4)
         with contextlib.suppress(TimeoutError):
-            yield from self._until(self._all_ready)
-        self.saw.left_out = [member.number for member in self.members if not member.ready]
-        self.saw.versions = [member.version for member in self.members]
+            yield from self._wait_for(self._all_ready)
+        self.observed.left_out = [member.number for member in self.members if not member.ready]
+        self.observed.versions = [member.version for member in self.members]
         if self._agreement:
             with contextlib.suppress(Lost, Turned):
                 known, _ = yield from self.operator.look()
-                self.saw.left_out += [int(name[1:]) for name in known.permits]
-        self._over = True
+                self.observed.left_out += [int(name[1:]) for name in known.permits]
+        self._load_stopped = True
         with contextlib.suppress(TimeoutError):
-            yield from self._until(lambda: not self._out)
+            yield from self._wait_for(lambda: not self._pending_requests)
 
-    def _until_due(self, deed: Operation) -> Coroutine[None]:
-        """Wait for what the deed is to meet, on a slow machine as on a fast one.
+    def _wait_until_due(self, operation: Operation) -> Coroutine[None]:
+        """Wait for the condition of an operation, so that slow and fast machines run the same scenario.
 
-        The later deeds come later by as much, so that the time between two of them stays as it was drawn.
+        All later operations are delayed by the same time, which keeps the intervals of the schedule.
         """
-        due = self._condition(deed)
-        if due is None:
+        condition = self._condition(operation)
+        if condition is None:
             return
         since = self.loop.now()
         try:
-            yield from self._until(due, deed.span if deed.what in WAITS and deed.span else PATIENCE)
+            yield from self._wait_for(
+                condition,
+                operation.duration if operation.kind in WAITS and operation.duration else RECOVERY_TIMEOUT_US,
+            )
         except TimeoutError:
-            self.note(f"did not come to be: {deed}")
-        self._began += self.loop.now() - since
-
-    def _condition(self, deed: Operation) -> Callable[[], bool] | None:
-        if deed.more == ONCE_OUT:
-            return lambda: not self.members[deed.who].ready
-        if deed.more == ONCE_DRAINED:
-            return lambda: f"r{deed.who}" in self._drained
-        if deed.what == AWAIT_OUT:
-            return lambda: sum(not member.ready for member in self.members) >= deed.who
-        if deed.what == AWAIT_RESTARTS:
-            return lambda: sum(status == STATUS for _, status, _ in self.saw.exits) >= deed.who
+            self.note(f"condition not met in time: {operation}")
+        self._started_at += self.loop.now() - since
+
+    def _condition(self, operation: Operation) -> Callable[[], bool] | None:
+        if operation.argument == ONCE_OUT:
+            return lambda: not self.members[operation.target].ready
+        if operation.argument == ONCE_DRAINED:
+            return lambda: f"r{operation.target}" in self._drained_since
+        if operation.kind == AWAIT_OUT:
+            return lambda: sum(not member.ready for member in self.members) >= operation.target
+        if operation.kind == AWAIT_RESTARTS:
+            return (
+                lambda: sum(status == RESTART_STATUS for _, status, _ in self.observed.exits)
+                >= operation.target
+            )
         return None
 
     def _all_ready(self) -> bool:
         return all(member.ready and member.process is not None for member in self.members)
 
-    def _until_joined(self) -> Coroutine[None]:
-        end = self.loop.now() + PATIENCE
+    def _wait_until_joined(self) -> Coroutine[None]:
+        end = self.loop.now() + RECOVERY_TIMEOUT_US
         while self.loop.now() < end:
             with contextlib.suppress(Lost, Turned):
                 known, _ = yield from self.operator.look()
                 if len(known.words) == self._spec.members:
                     return
             yield Wait(until=self.loop.now() + SECOND // 10)
-        raise TimeoutError("the fleet did not come together")
+        raise TimeoutError("not all members joined the fleet in time")
 
-    def _until(self, so: Callable[[], bool], patience: int = PATIENCE) -> Coroutine[None]:
-        end = self.loop.now() + patience
-        while not so():
+    def _wait_for(self, condition: Callable[[], bool], timeout: int = RECOVERY_TIMEOUT_US) -> Coroutine[None]:
+        end = self.loop.now() + timeout
+        while not condition():
             if self.loop.now() > end:
-                raise TimeoutError("it did not come to be")
-            yield Wait(until=self.loop.now() + LOOK)
+                raise TimeoutError("the condition was not met in time")
+            yield Wait(until=self.loop.now() + PROBE_INTERVAL_US)
 
     def verdict(self) -> list[str]:
-        """What was broken, from what was seen from outside."""
+        """Return the violations that the observations show, one line each."""
         book = self.folder / "book"
         lines = [json.loads(line) for line in book.read_text().splitlines()] if book.exists() else []
-        begun: dict[tuple[str, str], int] = {}
+        running: dict[tuple[str, str], int] = {}
         for line in lines:
             if line["what"] == "start":
-                begun[line["box"], line["txn"]] = line["at"]
+                running[line["box"], line["txn"]] = line["at"]
             else:
-                at = begun.pop((line["box"], line["txn"]), 0)
-                self.saw.ran.append((line["box"], at, line["at"], line["txn"]))
-        self.saw.starts = [
+                at = running.pop((line["box"], line["txn"]), 0)
+                self.observed.ran.append((line["box"], at, line["at"], line["txn"]))
+        self.observed.starts = [
             (line["at"], line["txn"], line["kind"], line["box"]) for line in lines if line["what"] == "start"
         ]
         spec = self._spec
@@ -762,12 +815,19 @@
             spec.max_out_per_zone,
             {i: spec.zone(i) for i in range(spec.members)},
             spec.lease,
-            STATUS,
+            RESTART_STATUS,
+        )
+        return check(
+            self.observed, limits, {kind for kind, effect in CLASS_EFFECTS.items() if effect == "unsafe"}
         )
-        return judge(self.saw, limits, {kind for kind, effect in KINDS.items() if effect == "unsafe"})
 
     def close(self) -> None:
-        for process in [*self._runners, self._store, *(member.process for member in self.members)]:
+        """Kill all processes, stopped ones too, and close all links."""
+        for process in [
+            *self._runner_processes,
+            self._store_process,
+            *(member.process for member in self.members),
+        ]:
             if process is not None:
                 with contextlib.suppress(ProcessLookupError):
                     os.kill(process.pid, signal.SIGCONT)
--- a/pulleyroute/lab/fleet/schedule.py
+++ b/pulleyroute/lab/fleet/schedule.py
@@ -1,60 +1,68 @@
-"""What is done to a fleet and when: drawn from a seed, so that a run can be played again. Pure."""
+"""Schedules of what is done to a fleet and when, drawn from a seed so that a run can be repeated. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from random import Random
 
-SECOND = 1_000_000
-ONCE_OUT = "once out"  # a deed waits until its member wants no clients
-ONCE_DRAINED = "once drained"  # a deed waits until an operator was told that its runner is drained
-# Deeds that do nothing but wait, for `span` at most: until `who` members want no clients, or have restarted.
+SECOND = 1_000_000  # in microseconds, the unit of all times here
+ONCE_OUT = "once out"  # the operation waits until its member is not ready
+ONCE_DRAINED = "once drained"  # the operation waits until an operator has seen its runner as drained
+# Operations that only wait, for at most `duration`: until `target` members are not ready, or have restarted.
 AWAIT_OUT, AWAIT_RESTARTS = "await-out", "await-restarts"
 WAITS = (AWAIT_OUT, AWAIT_RESTARTS)
 
 
 @dataclass(slots=True, frozen=True)
 class FleetSpec:
-    """The fleet of a run. `out`, `out_zone`, `least`: its limits; times in microseconds."""
+    """The fleet of a run, its limits and its load; times in microseconds."""
 
     members: int = 6
     zones: int = 3
     runners: int = 3
-    max_out: int = 2
+    max_out: int = 2  # members that may be out at once
     max_out_per_zone: int = 1
     min_serving: int = 3
     lease: int = 2 * SECOND
     duration: int = 12 * SECOND
-    rate: float = 30.0  # jobs a second
-    mean_job_ms: int = 30  # that a job runs
-    give_up: int = 5 * SECOND  # of every class
-    wave_timeout: int = 15 * SECOND  # of a release, for the members of a wave
+    rate: float = 30.0  # jobs per second
+    mean_job_ms: int = 30  # mean running time of a job
+    give_up: int = 5 * SECOND  # the time limit of a job, of every class
+    wave_timeout: int = 15 * SECOND  # for the members of a wave of a release to restart
 
     def zone(self, member: int) -> str:
+        """Return the zone of a member."""
         return f"z{member % self.zones}"
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Operation:
-    """One thing done at a time of the run. `who`: a member's or runner's number; `span`: how long it lasts.
+    """One operation at a time of the run.
 
-    `more`: of a wish what is wanted, of a cut which way; `ONCE_OUT` and `ONCE_DRAINED` are what it waits for.
+    `target`: the number of a member or runner, or a count for an operation that waits; -1 if there is none.
+    `duration`: how long a fault lasts; 0 for an instant fault and for one that a later operation ends.
+    `argument`: the requested state, the version of a release, the direction of a cut, or the condition that
+    the operation waits for (`ONCE_OUT` or `ONCE_DRAINED`).
     """
 
     at: int
-    what: str
-    who: int = -1
-    span: int = 0
-    more: str = ""
+    kind: str
+    target: int = -1
+    duration: int = 0
+    argument: str = ""
 
     def __str__(self) -> str:
-        who = f" {self.who}" if self.who >= 0 else ""
-        span = f" for {self.span / SECOND:.2f} s" if self.span else ""
-        return f"{self.at / SECOND:7.3f} s  {self.what}{who}{span}{' ' + self.more if self.more else ''}"
+        target = f" {self.target}" if self.target >= 0 else ""
+        duration = f" for {self.duration / SECOND:.2f} s" if self.duration else ""
+        return (
+            f"{self.at / SECOND:7.3f} s  {self.kind}{target}{duration}"
+            f"{' ' + self.argument if self.argument else ''}"
+        )
 
 
-WISHES = ("standby", "restart")
-WISHED = (
+REQUESTED_STATES = ("standby", "restart")
+# The kinds of operations that are not faults: operators' calls, the end of a stop, and waits.
+NON_FAULTS = (
     "wish",
     "undrain",
     "box-drain",
@@ -65,7 +73,7 @@
     "release-back",
     "go-on",
     *WAITS,
-)  # no faults
+)
 MEMBER_FAULTS = (
     "kill",
     "stop",
@@ -77,7 +85,7 @@
     "client-reset",
 )
 LEADER_FAULTS = ("kill-leader", "stop-leader")
-AT_ONCE = ("kill", "term", "client-reset", "kill-leader")
+INSTANT_FAULTS = ("kill", "term", "client-reset", "kill-leader")  # faults without a duration
 STORE_FAULTS = (
     "store-kill",
     "store-stop",
@@ -87,33 +95,39 @@
     "store-silent",
     "store-slow",
 )
-GATHER = "store-gather"  # requests for permits are held until every member's is there
+STORE_GATHER = "store-gather"  # the store delays requests for permits until every member has sent one
 
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
-    """A run: its seed, its fleet and its deeds in the order of their times.
+    """A run: its seed, its fleet and its operations in the order of their times.
 
-    `insists`: operators repeat a call that is lost, where the verdict needs that the call took effect.
+    `retry_lost_calls`: operators repeat a call whose answer is lost, for runs whose verdict depends on the
+    call's effect.
     """
 
     seed: int
     spec: FleetSpec
     operations: list[Operation] = field(default_factory=list)
-    insists: bool = False
+    retry_lost_calls: bool = False
 
     @property
     def faults(self) -> int:
-        return sum(1 for deed in self.operations if deed.what not in WISHED)
+        """Return the number of operations that are faults."""
+        return sum(1 for operation in self.operations if operation.kind not in NON_FAULTS)
 
 
-BAD = ("errs", "never", "crashes")  # what is wrong with a version; its name says so
+# Suffixes of the names of bad versions: jobs fail, the process does not start, or it crashes when ready.
+BAD_VERSIONS = ("errs", "never", "crashes")
 
 
 def draw_release(seed: int, spec: FleetSpec | None = None) -> Schedule:
-    """A release, good or bad, among faults; now and then halted and resumed, or taken back, by hand."""
+    """Draw a release of a good or bad version, and faults.
+
+    In some runs an operator halts and resumes the release, or takes it back.
+    """
     spec, random = spec or FleetSpec(duration=20 * SECOND), Random(seed)
-    version = f"v2-{random.choice(BAD)}" if random.random() < 0.5 else "v2"
+    version = f"v2-{random.choice(BAD_VERSIONS)}" if random.random() < 0.5 else "v2"
     operations = [Operation(SECOND, "release", -1, 0, version)]
     if random.random() < 0.3:
         at = random.randint(3, 9) * SECOND
@@ -125,42 +139,53 @@
         operations.append(Operation(random.randint(4, 12) * SECOND, "release-back"))
     for _ in range(random.randint(2, 6)):
         at = random.randrange(2 * SECOND, spec.duration)
-        what = random.choice((*MEMBER_FAULTS, *LEADER_FAULTS, *STORE_FAULTS))
-        who = -1 if what in (*STORE_FAULTS, *LEADER_FAULTS) else random.randrange(spec.members)
-        span = 0 if what in AT_ONCE or what == "store-lose" else random.randint(10, 50) * SECOND // 10
-        operations.append(Operation(at, what, who, span, "both" if what == "store-cut" else ""))
+        kind = random.choice((*MEMBER_FAULTS, *LEADER_FAULTS, *STORE_FAULTS))
+        target = -1 if kind in (*STORE_FAULTS, *LEADER_FAULTS) else random.randrange(spec.members)
+        duration = (
+            0 if kind in INSTANT_FAULTS or kind == "store-lose" else random.randint(10, 50) * SECOND // 10
+        )
+        operations.append(Operation(at, kind, target, duration, "both" if kind == "store-cut" else ""))
     return Schedule(seed, spec, sorted(operations))
 
 
-def draw(seed: int, spec: FleetSpec | None = None) -> Schedule:
-    """A schedule of wishes and faults. Some runs have all members wish at the same moment."""
+def draw_drains(seed: int, spec: FleetSpec | None = None) -> Schedule:
+    """Draw drains, restarts and faults. In some runs an operator requests all members at the same moment."""
     spec, random = spec or FleetSpec(), Random(seed)
     operations: list[Operation] = []
 
-    def some(least: int, most: int) -> int:
-        return random.randint(least * 10, most * 10) * SECOND // 10
+    def time_between(low: int, high: int) -> int:
+        """Return a time between so many seconds, in microseconds."""
+        return random.randint(low * 10, high * 10) * SECOND // 10
 
     if random.random() < 0.3:
-        at = some(1, 4)
-        operations += [Operation(at, "wish", who, 0, random.choice(WISHES)) for who in range(spec.members)]
+        at = time_between(1, 4)
+        operations += [
+            Operation(at, "wish", target, 0, random.choice(REQUESTED_STATES))
+            for target in range(spec.members)
+        ]
     for _ in range(random.randint(5, 9)):
-        who, at = random.randrange(spec.members), random.randrange(spec.duration)
-        operations.append(Operation(at, "wish", who, 0, random.choice(WISHES)))
+        target, at = random.randrange(spec.members), random.randrange(spec.duration)
+        operations.append(Operation(at, "wish", target, 0, random.choice(REQUESTED_STATES)))
         if random.random() < 0.7:
-            operations.append(Operation(at + some(1, 5), "undrain", who))
+            operations.append(Operation(at + time_between(1, 5), "undrain", target))
     for _ in range(random.randint(0, 3)):
-        box, at = random.randrange(spec.runners), random.randrange(spec.duration * 2 // 3)
-        operations += [Operation(at, "box-drain", box), Operation(at + some(2, 6), "box-undrain", box)]
+        runner, at = random.randrange(spec.runners), random.randrange(spec.duration * 2 // 3)
+        operations += [
+            Operation(at, "box-drain", runner),
+            Operation(at + time_between(2, 6), "box-undrain", runner),
+        ]
     for _ in range(random.randint(4, 9)):
         at = random.randrange(spec.duration)
         if random.random() < 0.65:
-            what, who = random.choice(MEMBER_FAULTS), random.randrange(spec.members)
-            more = random.choice(("both", "both", "up", "down")) if what == "store-cut" else ""
-            operations.append(Operation(at, what, who, 0 if what in AT_ONCE else some(1, 6), more))
+            kind, target = random.choice(MEMBER_FAULTS), random.randrange(spec.members)
+            direction = random.choice(("both", "both", "up", "down")) if kind == "store-cut" else ""
+            operations.append(
+                Operation(at, kind, target, 0 if kind in INSTANT_FAULTS else time_between(1, 6), direction)
+            )
         else:
-            what = random.choice(STORE_FAULTS)
-            operations.append(Operation(at, what, -1, 0 if what == "store-lose" else some(1, 4)))
+            kind = random.choice(STORE_FAULTS)
+            operations.append(Operation(at, kind, -1, 0 if kind == "store-lose" else time_between(1, 4)))
     return Schedule(seed, spec, sorted(operations))
 
 
-GENERATORS = {"drains": draw, "releases": draw_release}  # by the campaign's name
+GENERATORS = {"drains": draw_drains, "releases": draw_release}  # by the name of the campaign
