--- a/pulleyroute/emulator/store.py
+++ b/pulleyroute/emulator/store.py
@@ -60,7 +60,7 @@
         self._loop, self._pool = loop, BufferPool()
         self.store, self.faults = Store(), Faults()
         self._log: int | None = None  # file descriptor
-        self._log_failed = False  # the log could not be written: all further calls are rejected
+        self._log_failed = False  # the log could not be written: further calls are rejected
         self._gathered_keys: set[bytes] = set()  # keys that delayed transactions put
         self._tasks: list[Task] = []
         self._streams: set[Stream] = set()
