--- a/benchmarks/capacity/hollow_member.py
+++ b/benchmarks/capacity/hollow_member.py
@@ -99,13 +99,15 @@
     @property
     def serving(self) -> int:
         """How many members it knows to serve."""
-        return sum(1 for record in self.agent.known.words.values() if record.phase == Phase.SERVING.value)
+        return sum(
+            1 for record in self.agent.snapshot.heartbeats.values() if record.phase == Phase.SERVING.value
+        )
 
     @property
     def has_record(self) -> bool:
         """Whether its own record is in what it knows, as of the process that has the name."""
-        known = self.agent.known
-        record, seat = known.words.get(self._name), known.seats.get(self._name)
+        known = self.agent.snapshot
+        record, seat = known.heartbeats.get(self._name), known.registrations.get(self._name)
         return record is not None and seat is not None and record.incarnation == seat.incarnation
 
     def look(self, expected: Expectation | None) -> bool:
--- a/benchmarks/capacity/members.py
+++ b/benchmarks/capacity/members.py
@@ -12,12 +12,12 @@
 from benchmarks.capacity.cost import microseconds, traced
 from benchmarks.capacity.slope import Cost, Slope
 from pulleyroute.fleet import drains, records, release
-from pulleyroute.fleet.drains import Act, Bounds, Part
-from pulleyroute.fleet.records import Keys, Known
+from pulleyroute.fleet.drains import Action, Bounds, CountOrShare
+from pulleyroute.fleet.records import Keys, Snapshot
 from pulleyroute.fleet.store import Item, unchanged
 
 ZONES = 9
-BOUNDS = Bounds(fleet=Part(share=0.1), zone=Part(share=0.5), least_serving=1)
+BOUNDS = Bounds(fleet=CountOrShare(share=0.1), zone=CountOrShare(share=0.5), least_serving=1)
 ETCD_OPERATIONS = 128  # of a transaction, unless its operator allows more
 KEYS = Keys("fleet")
 
@@ -44,17 +44,17 @@
     return {key: Item(key, value, 5, 5, 0) for key, value in pairs}
 
 
-def _known(mirror: dict[bytes, Item]) -> Known:
-    return records.known(KEYS, ((item.key, item.value) for item in mirror.values()))
+def _known(mirror: dict[bytes, Item]) -> Snapshot:
+    return records.parse_snapshot(KEYS, ((item.key, item.value) for item in mirror.values()))
 
 
-def _step(known: Known) -> drains.Step:
+def _step(known: Snapshot) -> drains.Step:
     return drains.step(member_name(0), f"{0:016x}", 1, "serving", False, known, BOUNDS)
 
 
-def _permit(mirror: dict[bytes, Item], known: Known) -> list[object]:
+def _permit(mirror: dict[bytes, Item], known: Snapshot) -> list[object]:
     """The comparisons of a permit's transaction."""
-    counted = [mirror[KEYS.of("word", name)] for name in drains.counted(known)]
+    counted = [mirror[KEYS.of("word", name)] for name in drains.serving_members(known)]
     first = [KEYS.of("permit", member_name(0)), KEYS.of("seat", member_name(0)), KEYS.roll]
     own = [mirror.get(key, Item(key)) for key in (*first, KEYS.of("wish", member_name(0)))]
     return [unchanged(item) for item in (*own, *counted)]
@@ -64,13 +64,13 @@
     """The costs in a fleet of so many members."""
     mirror = _mirror(size)
     known = _known(mirror)
-    if _step(known).act is not Act.ASK:
+    if _step(known).action is not Action.ASK:
         raise ValueError("the sample's member does not ask for its permit")
     compares = _permit(mirror, known)
-    plan = release.Plan("r", "1.2.4", (Part(share=0.01), Part(share=0.1)))
-    begun = release.begin(plan, replace(known, wishes={}))
+    plan = release.Plan("r", "1.2.4", (CountOrShare(share=0.01), CountOrShare(share=0.1)))
+    begun = release.begin(plan, replace(known, member_requests={}))
 
-    def held() -> tuple[dict[bytes, Item], Known]:
+    def held() -> tuple[dict[bytes, Item], Snapshot]:
         fresh = _mirror(size)
         return fresh, _known(fresh)
 
@@ -80,7 +80,7 @@
         "permit": microseconds(lambda: _permit(mirror, known)),
         "permit_compares": float(len(compares)),
         "permit_bytes": float(len(json.dumps({"compare": compares}))),
-        "release_bytes": float(len(records.encode(**records.written(begun)))),
+        "release_bytes": float(len(records.encode(**records.release_values(begun)))),
         "memory": traced(held)[0],
     }
 
--- a/benchmarks/fleet_rest.py
+++ b/benchmarks/fleet_rest.py
@@ -32,7 +32,7 @@
     def standby(self) -> None: ...
     def active(self) -> None: ...
     def leave(self, version: str) -> None: ...
-    def withhold(self, marked: set[records.Place]) -> None: ...
+    def withhold(self, marked: set[records.RunnerKey]) -> None: ...
 
     def runners(self, pool: str) -> list[Runner] | None:
         return None
@@ -56,7 +56,7 @@
         agent.start()
 
     def joined() -> bool:
-        return len(agents[0].known.words) == size
+        return len(agents[0].snapshot.heartbeats) == size
 
     if not loop.run_until(joined, 10 * MINUTE):
         raise SystemExit(f"{size} members did not come together")
--- a/pulleyroute/cli/fleet.py
+++ b/pulleyroute/cli/fleet.py
@@ -29,7 +29,7 @@
 def ask(path: Path, what: Callable[[Operator], Coroutine[T]]) -> T:
     """Do one thing on the store that the configuration names; ends with one plain line where it can't be."""
     from pulleyroute.config import Invalid, load
-    from pulleyroute.fleet.records import Refused
+    from pulleyroute.fleet.records import OperationRefused
     from pulleyroute.fleet.store import Client, Lost, Turned
     from pulleyroute.net.buffers import BufferPool
     from pulleyroute.net.loop import Loop
@@ -63,7 +63,7 @@
     if isinstance(fault, Lost):
         done = "it may have been done all the same" if fault.maybe else "nothing was done"
         print(f"pulleyroute: the store can't be reached ({fault}); {done}", file=sys.stderr)
-    elif isinstance(fault, Turned | Refused):
+    elif isinstance(fault, Turned | OperationRefused):
         print(f"pulleyroute: {fault}", file=sys.stderr)
     elif fault is not None:
         raise fault
--- a/pulleyroute/cli/release.py
+++ b/pulleyroute/cli/release.py
@@ -51,8 +51,8 @@
     meant = _plan(plan)
 
     def what(operator: Operator) -> Coroutine[Any]:
-        known, _ = yield from operator.look()
-        return release.begin(meant, known)
+        snapshot, _ = yield from operator.look()
+        return release.begin(meant, snapshot)
 
     _waves(ask(config, what))
 
@@ -79,19 +79,19 @@
 ) -> None:
     """The release in hand, or the last one, and who stands where."""
     while True:
-        known, _ = ask(config, lambda operator: operator.look())
-        told = known.release
+        snapshot, _ = ask(config, lambda operator: operator.look())
+        told = snapshot.release
         if told is None:
             print("null" if as_json else "no release yet")
             return
-        versions = {name: word.version for name, word in known.words.items()}
+        versions = {name: heartbeat.version for name, heartbeat in snapshot.heartbeats.items()}
         rows = [
             {
                 "member": name,
                 "wave": 1 + sum(1 for count in told.counts if count <= number),
                 "version": versions.get(name, ""),
-                "wanted": known.wishes[name].version if name in known.wishes else "",
-                "permit": name in known.permits,
+                "wanted": snapshot.member_requests[name].version if name in snapshot.member_requests else "",
+                "permit": name in snapshot.permits,
             }
             for number, name in enumerate(told.members)
         ]
--- a/pulleyroute/config/plan.py
+++ b/pulleyroute/config/plan.py
@@ -8,7 +8,7 @@
 from pulleyroute.config.load import read
 from pulleyroute.config.problems import Invalid, Problem
 from pulleyroute.config.types import Count, ListOf, Name, PartOf, Positive, Strict, Time
-from pulleyroute.fleet.drains import Part
+from pulleyroute.fleet.drains import CountOrShare
 from pulleyroute.fleet.release import Plan
 
 
@@ -17,7 +17,9 @@
 
     name: str = ""
     version: Name
-    waves: Annotated[list[Part], ListOf(PartOf(), 'a list of numbers and shares such as [1, "25%", "100%"]')]
+    waves: Annotated[
+        list[CountOrShare], ListOf(PartOf(), 'a list of numbers and shares such as [1, "25%", "100%"]')
+    ]
     zones: tuple[str, ...] = ()
     of_version: str = ""
     at_once: Count = 1
--- a/pulleyroute/config/types.py
+++ b/pulleyroute/config/types.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta, Struct
 
-from pulleyroute.fleet.drains import Part
+from pulleyroute.fleet.drains import CountOrShare
 from pulleyroute.net.http import parse_address
 
 
@@ -92,13 +92,13 @@
 
     expected = 'a number such as 2, or a share such as "25%"'
 
-    def read(self, value: Any) -> Part:
+    def read(self, value: Any) -> CountOrShare:
         if isinstance(value, int) and not isinstance(value, bool) and 0 <= value <= 1_000_000:
-            return Part(count=value)
+            return CountOrShare(count=value)
         match = re.fullmatch(r"(\d{1,3}(?:\.\d{1,6})?)%", value) if isinstance(value, str) else None
         if match is None or float(match[1]) > 100:
             raise ValueError
-        return Part(share=float(match[1]) / 100)
+        return CountOrShare(share=float(match[1]) / 100)
 
 
 Time = Annotated[int, Span()]
@@ -234,13 +234,13 @@
     version: str = ""  # empty for the program's
     size: Annotated[int, Meta(ge=0, le=100_000)] = 0  # members that there are; 0: those that have a seat
     lease: Annotated[int, Span(1_000_000)] = 5_000_000  # in whole seconds
-    out: Annotated[Part | None, PartOf()] = None  # at once, of the fleet
-    out_zone: Annotated[Part | None, PartOf()] = None
-    out_region: Annotated[Part | None, PartOf()] = None
+    out: Annotated[CountOrShare | None, PartOf()] = None  # at once, of the fleet
+    out_zone: Annotated[CountOrShare | None, PartOf()] = None
+    out_region: Annotated[CountOrShare | None, PartOf()] = None
     least_serving: Annotated[int, Meta(ge=0)] = 1
-    runners_out: Annotated[Part | None, PartOf()] = None  # at once, of each pool's
-    runners_out_hall: Annotated[Part | None, PartOf()] = None
-    runners_out_kind: Annotated[Part | None, PartOf()] = None
+    runners_out: Annotated[CountOrShare | None, PartOf()] = None  # at once, of each pool's
+    runners_out_hall: Annotated[CountOrShare | None, PartOf()] = None
+    runners_out_kind: Annotated[CountOrShare | None, PartOf()] = None
     restart_status: Annotated[int, Meta(ge=1, le=255)] = 75  # of a process that is to be started again
     version_file: str = ""  # gets the version that is to come, before the process ends so
 
--- a/pulleyroute/fleet/agent.py
+++ b/pulleyroute/fleet/agent.py
@@ -15,8 +15,8 @@
 from loguru import logger
 
 from pulleyroute.fleet import drains, records, release, runners
-from pulleyroute.fleet.drains import Act, Bounds, Step
-from pulleyroute.fleet.records import Keys, Known
+from pulleyroute.fleet.drains import Action, Bounds, Step
+from pulleyroute.fleet.records import Keys, Snapshot
 from pulleyroute.fleet.runners import Runner, RunnerBounds
 from pulleyroute.fleet.store import (
     Client,
@@ -72,7 +72,7 @@
     def active(self) -> None: ...
     def leave(self, version: str) -> None: ...
     def runners(self, pool: str) -> list[Runner] | None: ...
-    def withhold(self, marked: set[records.Place]) -> None: ...
+    def withhold(self, marked: set[records.RunnerKey]) -> None: ...
     def busy(self, pool: str, runner: str) -> bool: ...
     def jobs(self) -> tuple[int, int]: ...
 
@@ -101,15 +101,15 @@
         self._heard_meanwhile: dict[bytes, Item] | None = None  # by the watch, while the whole is read
         self._read_at = 0  # the revision of the last reading of the whole
         self._fresh_at = 0  # when it was asked for
-        self._known: Known | None = None  # of the mirror; None once that has changed
-        self._spoilt: set[str] = set()
+        self._snapshot: Snapshot | None = None  # of the mirror; None once that has changed
+        self._unreadable: set[str] = set()
         self._watch: Task | None = None
         self._broken: Exception | None = None  # how the watch ended
         self._idle = self._changed = False
         self._planned = False  # on standby by a wish
         self._seen = release.Seen()
         self._health_at = 0  # when the next word on its jobs is due
-        self._marked: set[records.Place] = set()
+        self._marked: set[records.RunnerKey] = set()
         self._look_at = NEVER  # when to look again at what is still out at marked runners
         self._cut = False  # the store can't be reached, and the log says so
         self._count = 0
@@ -196,7 +196,7 @@
         if not regressed:
             # The watch may be ahead of the answer, and what it told meanwhile comes no second time.
             self._mirror.update({key: item for key, item in heard.items() if item.mod > revision})
-        self._read_at, self._fresh_at, self._known = revision, asked, None
+        self._read_at, self._fresh_at, self._snapshot = revision, asked, None
 
     def _watching(self, start: int) -> Coroutine[None]:
         try:
@@ -210,35 +210,35 @@
             # The last reading has what came before it.
             if item.mod > self._read_at:
                 self._mirror[item.key] = item
-                self._known = None
+                self._snapshot = None
                 if self._heard_meanwhile is not None:
                     self._heard_meanwhile[item.key] = item
-        if self._known is None:
+        if self._snapshot is None:
             self.moved()
 
     # What is kept
 
     @property
-    def known(self) -> Known:
+    def snapshot(self) -> Snapshot:
         """What the mirror says."""
-        if self._known is None:
-            self._known = records.known(
+        if self._snapshot is None:
+            self._snapshot = records.parse_snapshot(
                 self._keys, ((item.key, item.value) for item in self._mirror.values())
             )
-            for key in self._known.spoilt:
-                if key not in self._spoilt:
-                    self._spoilt.add(key)
+            for key in self._snapshot.unreadable:
+                if key not in self._unreadable:
+                    self._unreadable.add(key)
                     logger.bind(event="fleet.spoilt", key=key).warning(
                         "fleet: the record {} can't be read and is passed over", key
                     )
-        return self._known
+        return self._snapshot
 
     def _item(self, kind: str, *names: str) -> Item:
         return stands(self._mirror, self._keys.of(kind, *names))
 
     def _seated(self) -> bool:
         """Whether this process has its seat, as far as it knows."""
-        return self._incarnation is not None and self.known.tokens.get(self._place.member) == self._token
+        return self._incarnation is not None and self.snapshot.tokens.get(self._place.member) == self._token
 
     def _own(self) -> list[Json]:
         """Guards everybody: a process whose seat is a newer one's changes nothing, however late it wakes."""
@@ -253,15 +253,15 @@
         if self._right is None or not self._right.holds(self._loop.now()):
             self._right = yield from self.client.grant(self._place.lease)
             self._beat_at = now + self._place.lease * 1_000_000 // BEATS
-        known, me = self.known, self._place.member
-        if known.tokens.get(me) != self._token:
+        snapshot, me = self.snapshot, self._place.member
+        if snapshot.tokens.get(me) != self._token:
             return
         # From the record, not from the answer: that of the claim may have been lost.
-        self._incarnation = known.seats[me].incarnation
-        word, item = known.words.get(me), self._item("word", me)
+        self._incarnation = snapshot.registrations[me].incarnation
+        heartbeat, item = snapshot.heartbeats.get(me), self._item("word", me)
         if (
-            word is None
-            or (word.incarnation, word.phase) != (self._incarnation, self._served.phase.value)
+            heartbeat is None
+            or (heartbeat.incarnation, heartbeat.phase) != (self._incarnation, self._served.phase.value)
             or item.lease != self._right.lease
         ):
             yield from self._write(
@@ -307,10 +307,10 @@
             self._incarnation,
             self._served.phase.value,
             self._planned,
-            self.known,
+            self.snapshot,
             place.bounds,
         )
-        if step.act in (Act.STANDBY, Act.LEAVE) and not self._may_go():
+        if step.action in (Action.STANDBY, Action.LEAVE) and not self._may_go():
             # Guards the limits against a process that stood still: what it knew may have passed meanwhile.
             yield from self._read()
             self._changed = True
@@ -318,8 +318,8 @@
         if step.why != self._why:
             self._why = step.why
             if step.why:
-                logger.bind(event="fleet.step", act=step.act.name.lower()).info(
-                    "fleet: {}: {}", step.act.value, step.why
+                logger.bind(event="fleet.step", act=step.action.name.lower()).info(
+                    "fleet: {}: {}", step.action.value, step.why
                 )
         yield from self._carry_out(step)
 
@@ -329,55 +329,55 @@
 
     def _carry_out(self, step: Step) -> Coroutine[None]:
         me = self._place.member
-        if step.act is Act.CLAIM:
+        if step.action is Action.CLAIM:
             yield from self._claim()
-        elif step.act is Act.ASK:
+        elif step.action is Action.ASK:
             assert self._incarnation is not None
-            known = self.known
+            snapshot = self.snapshot
             guards = [
                 *self._own(),
                 unchanged(stands(self._mirror, self._keys.roll)),
                 unchanged(self._item("wish", me)),
             ]
             # The count is of one moment: whoever it rests on has to serve still when the permit is written.
-            guards += [unchanged(self._item("word", name)) for name in drains.counted(known)]
+            guards += [unchanged(self._item("word", name)) for name in drains.serving_members(snapshot)]
             if (
                 yield from self._write(
                     self._item("permit", me),
                     self._value(incarnation=self._incarnation),
                     guards,
-                    self._told("out", known.wishes[me].why, self._keys.roll),
+                    self._told("out", snapshot.member_requests[me].why, self._keys.roll),
                 )
             ):
                 logger.bind(event="fleet.permit").info("fleet: has a permit to be out")
-        elif step.act is Act.RETURN:
-            permit, wish = self._item("permit", me), self._item("wish", me)
+        elif step.action is Action.RETURN:
+            permit, request = self._item("permit", me), self._item("wish", me)
             also = self._told("back", "", self._keys.roll)
-            if permit.value is not None and wish.value is not None:
-                also.append(delete(wish.key))
-            first = permit if permit.value is not None else wish
-            if (yield from self._write(first, None, [*self._own(), unchanged(wish)], also)):
+            if permit.value is not None and request.value is not None:
+                also.append(delete(request.key))
+            first = permit if permit.value is not None else request
+            if (yield from self._write(first, None, [*self._own(), unchanged(request)], also)):
                 logger.bind(event="fleet.returned").info("fleet: serves again, and has returned its permit")
-        elif step.act is Act.STANDBY:
+        elif step.action is Action.STANDBY:
             self._planned = True
             self._served.standby()
-        elif step.act is Act.ACTIVE:
+        elif step.action is Action.ACTIVE:
             self._planned = False
             self._served.active()
-        elif step.act is Act.LEAVE:
+        elif step.action is Action.LEAVE:
             self._served.leave(step.why)
 
     def _drain_runners(self) -> Coroutine[None]:
         """Give marked runners nothing new, say when nothing is there, and mark what is wanted."""
-        known, me = self.known, self._place.member
-        if set(known.marks) != self._marked:
-            self._marked = set(known.marks)
+        snapshot, me = self.snapshot, self._place.member
+        if set(snapshot.runner_drains) != self._marked:
+            self._marked = set(snapshot.runner_drains)
             self._served.withhold(self._marked)
         self._look_at = NEVER
         if not self._seated():
             return
-        for (pool, runner), mark in sorted(known.marks.items()):
-            if runners.acknowledged(known, pool, runner, me) or self._right is None:
+        for (pool, runner), mark in sorted(snapshot.runner_drains.items()):
+            if runners.acknowledged(snapshot, pool, runner, me) or self._right is None:
                 continue
             if self._served.busy(pool, runner):
                 # Guards the drain: said before its last job has ended, somebody would stop a busy machine.
@@ -390,14 +390,14 @@
                 lease=self._right.lease,
             )
             return
-        if runners.hand(known) != me:
+        if runners.hand(snapshot) != me:
             return
-        for pool, runner in sorted(set(known.wants) - set(known.marks)):
+        for pool, runner in sorted(set(snapshot.runner_requests) - set(snapshot.runner_drains)):
             there = self._served.runners(pool)
-            marked = {name for each, name in known.marks if each == pool}
+            marked = {name for each, name in snapshot.runner_drains if each == pool}
             if there is None or runners.refusal(runner, there, marked, self._place.runner_bounds) is not None:
                 continue
-            want = known.wants[pool, runner]
+            want = snapshot.runner_requests[pool, runner]
             roll = self._keys.roll_runners
             yield from self._write(
                 self._item("mark", pool, runner),
@@ -413,10 +413,10 @@
 
     def _release(self) -> Coroutine[None]:
         """While a release is in hand: tell how one's jobs went, and lead it where nobody else does."""
-        known, me, now = self.known, self._place.member, self._loop.now()
+        snapshot, me, now = self.snapshot, self._place.member, self._loop.now()
         if (
-            known.release is None
-            or known.release.state not in release.ACTIVE
+            snapshot.release is None
+            or snapshot.release.state not in release.ACTIVE
             or self._right is None
             or not self._seated()
         ):
@@ -432,43 +432,46 @@
             )
             return
         self._look_at = min(self._look_at, self._health_at)
-        lead = stands(self._mirror, self._keys.lead)
+        lead = stands(self._mirror, self._keys.leader)
         if lead.value is None:
             yield from self._write(lead, self._value(token=self._token), self._own(), lease=self._right.lease)
             return
-        if known.lead != self._token or lead.lease != self._right.lease:
+        if snapshot.leader_token != self._token or lead.lease != self._right.lease:
             return
-        move = release.step(known, self._seen, now)
+        move = release.step(snapshot, self._seen, now)
         yield from self._lead(move, [guard(lead.key, lead.create), *self._own()])
 
     def _lead(self, move: release.Move, guards: list[Json]) -> Coroutine[None]:
         """Write what comes next. The guards hold it to this leader: one that was paused changes nothing."""
         keys = self._keys
         record = stands(self._mirror, keys.release)
-        wishes = {wish.name: self._value(**wish.values()) for wish in move.wishes}
+        member_requests = {request.name: self._value(**request.values()) for request in move.member_requests}
         # As they were read: an operator's wish that came meanwhile is not written over.
-        guards = [*guards, *(unchanged(self._item("wish", name)) for name in (*wishes, *move.dropped))]
-        also = [put(keys.of("wish", name), value) for name, value in wishes.items()]
+        guards = [
+            *guards,
+            *(unchanged(self._item("wish", name)) for name in (*member_requests, *move.dropped)),
+        ]
+        also = [put(keys.of("wish", name), value) for name, value in member_requests.items()]
         also += [delete(keys.of("wish", name)) for name in move.dropped]
         if move.release is not None:
             what = f"release {move.release.name}: {move.release.state}, wave {move.release.wave + 1}"
             logger.bind(event="fleet.release", state=move.release.state).info("fleet: {}", what)
             yield from self._write(
                 record,
-                self._value(**records.written(move.release)),
+                self._value(**records.release_values(move.release)),
                 guards,
                 [*also, *self._told(what, move.release.why, keys.roll)],
             )
         elif also:
-            first = next(iter((*wishes, *move.dropped)))
+            first = next(iter((*member_requests, *move.dropped)))
             yield from self._write(
-                self._item("wish", first), wishes.get(first), [*guards, unchanged(record)], also[1:]
+                self._item("wish", first), member_requests.get(first), [*guards, unchanged(record)], also[1:]
             )
 
     def _claim(self) -> Coroutine[None]:
         place = self._place
-        seat = self.known.seats.get(place.member)
-        number = max(seat.incarnation + 1 if seat is not None else 1, self._incarnation or 0)
+        registration = self.snapshot.registrations.get(place.member)
+        number = max(registration.incarnation + 1 if registration is not None else 1, self._incarnation or 0)
         value = self._value(incarnation=number, token=self._token, zone=place.zone, region=place.region)
         if (
             yield from self._write(
--- a/pulleyroute/fleet/members.py
+++ b/pulleyroute/fleet/members.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 
-class Standing(Enum):
+class MemberStatus(Enum):
     """What is known of a member. Only `SERVING` is not out."""
 
     SERVING = "serving"
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Seat:
+class Registration:
     """A place in the fleet, kept without a lease. `incarnation`: of the newest process that took it."""
 
     name: str
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
+class Heartbeat:
     """What a process says of itself, under its lease."""
 
     name: str
@@ -54,52 +54,67 @@
     least_serving: int = 0
 
 
-def share(most: float, of: int) -> int:
+def members_in_share(most: float, of: int) -> int:
     """The number that a share of so many allows: never more than the share, so that 0.5 of 3 is one."""
     return int(most * of + 1e-9)
 
 
-def claims(seat: Seat | None, incarnation: int) -> bool:
+def may_claim(registration: Registration | None, incarnation: int) -> bool:
     """Whether a process may take a seat: it is free, its own, or of an older incarnation.
 
     The other one that claims the same name goes on serving, says so, and touches nothing shared.
     """
-    return seat is None or incarnation >= seat.incarnation
+    return registration is None or incarnation >= registration.incarnation
 
 
-_PHASES = {"serving": Standing.SERVING, "starting": Standing.STARTING, "standby": Standing.STANDBY}
+_PHASES = {
+    "serving": MemberStatus.SERVING,
+    "starting": MemberStatus.STARTING,
+    "standby": MemberStatus.STANDBY,
+}
 
 
-def standing(seat: Seat, word: Word | None, permitted: bool) -> Standing:
+def member_status(registration: Registration, heartbeat: Heartbeat | None, permitted: bool) -> MemberStatus:
     """What is known of one member. A phase that is not known here counts as out, as `ENDING`."""
     if permitted:
         # Guards the limits: a permit that somebody holds is used up until it is returned, and neither its
         # holder's word nor the end of its lease returns it.
-        return Standing.PERMITTED
-    if word is None:
-        return Standing.SILENT
-    if word.incarnation != seat.incarnation:
+        return MemberStatus.PERMITTED
+    if heartbeat is None:
+        return MemberStatus.SILENT
+    if heartbeat.incarnation != registration.incarnation:
         # Guards against an old process that wakes: its word is not the one that has the seat.
-        return Standing.STALE
-    return _PHASES.get(word.phase, Standing.ENDING)
+        return MemberStatus.STALE
+    return _PHASES.get(heartbeat.phase, MemberStatus.ENDING)
 
 
-def picture(seats: Iterable[Seat], words: Mapping[str, Word], permits: Iterable[str]) -> dict[str, Standing]:
+def member_statuses(
+    registrations: Iterable[Registration], heartbeats: Mapping[str, Heartbeat], permits: Iterable[str]
+) -> dict[str, MemberStatus]:
     """The standing of every member that has a seat; a word without a seat is nobody's."""
     held = set(permits)
-    return {seat.name: standing(seat, words.get(seat.name), seat.name in held) for seat in seats}
+    return {
+        registration.name: member_status(
+            registration, heartbeats.get(registration.name), registration.name in held
+        )
+        for registration in registrations
+    }
 
 
-def refusal(seats: Iterable[Seat], known: Mapping[str, Standing], limits: Limits, name: str) -> str | None:
+def refusal(
+    registrations: Iterable[Registration], snapshot: Mapping[str, MemberStatus], limits: Limits, name: str
+) -> str | None:
     """Why a member may not go out now, as a line for an operator; None if it may.
 
     One that is out already changes no count, and so may always have its permit.
     """
-    places = {seat.name: seat for seat in seats}
+    places = {registration.name: registration for registration in registrations}
     asker = places.get(name)
     if asker is None:
         return f"{name} has no seat"
-    gone = [places[each] for each, how in known.items() if how is not Standing.SERVING and each in places]
+    gone = [
+        places[each] for each, how in snapshot.items() if how is not MemberStatus.SERVING and each in places
+    ]
     if asker in gone:
         return None
     rows = (
--- a/pulleyroute/fleet/operate.py
+++ b/pulleyroute/fleet/operate.py
@@ -13,9 +13,18 @@
 from typing import Any
 
 from pulleyroute.fleet import records, release
-from pulleyroute.fleet.drains import standings
-from pulleyroute.fleet.members import Standing
-from pulleyroute.fleet.records import Do, Event, Keys, Known, Mark, Refused, Release, Wish
+from pulleyroute.fleet.drains import statuses
+from pulleyroute.fleet.members import MemberStatus
+from pulleyroute.fleet.records import (
+    Do,
+    Event,
+    Keys,
+    MemberRequest,
+    OperationRefused,
+    Release,
+    RunnerDrain,
+    Snapshot,
+)
 from pulleyroute.fleet.runners import unconfirmed
 from pulleyroute.fleet.store import Client, Item, Json, delete, put, stands, unchanged
 from pulleyroute.net.loop import Coroutine, Loop
@@ -35,53 +44,53 @@
         self._keys = Keys(group)
         self._random = Random(seed)
 
-    def look(self) -> Coroutine[tuple[Known, dict[bytes, Item]]]:
+    def look(self) -> Coroutine[tuple[Snapshot, dict[bytes, Item]]]:
         """What stands in the store now."""
         _, items = yield from self._client.range(self._keys.prefix, self._keys.end)
         return (
-            records.known(self._keys, ((item.key, item.value) for item in items)),
+            records.parse_snapshot(self._keys, ((item.key, item.value) for item in items)),
             {item.key: item for item in items},
         )
 
     def members(self) -> Coroutine[list[dict[str, Any]]]:
         """A row for each member, in the order of their names."""
-        known, _ = yield from self.look()
-        known_as = standings(known)
+        snapshot, _ = yield from self.look()
+        known_as = statuses(snapshot)
         rows = []
-        for name, seat in sorted(known.seats.items()):
-            word, wish = known.words.get(name), known.wishes.get(name)
+        for name, registration in sorted(snapshot.registrations.items()):
+            heartbeat, request = snapshot.heartbeats.get(name), snapshot.member_requests.get(name)
             rows.append(
                 {
                     "name": name,
-                    "zone": seat.zone,
-                    "region": seat.region,
-                    "incarnation": seat.incarnation,
-                    "version": word.version if word is not None else "",
+                    "zone": registration.zone,
+                    "region": registration.region,
+                    "incarnation": registration.incarnation,
+                    "version": heartbeat.version if heartbeat is not None else "",
                     "standing": known_as[name].value,
-                    "phase": word.phase if word is not None else "",
-                    "out": known_as[name] is not Standing.SERVING,
-                    "permit": name in known.permits,
-                    "wish": wish.do if wish is not None else "",
-                    "why": wish.why if wish is not None else "",
+                    "phase": heartbeat.phase if heartbeat is not None else "",
+                    "out": known_as[name] is not MemberStatus.SERVING,
+                    "permit": name in snapshot.permits,
+                    "wish": request.do if request is not None else "",
+                    "why": request.why if request is not None else "",
                 }
             )
         return rows
 
     def history(self) -> Coroutine[list[Event]]:
         """What was done, the oldest first."""
-        known, _ = yield from self.look()
-        return known.history
+        snapshot, _ = yield from self.look()
+        return snapshot.history
 
     def drain(self, name: str, do: Do, why: str, version: str = "") -> Coroutine[None]:
         """Want a member on standby, or started again; it goes once it has its permit."""
 
-        def change(known: Known, items: dict[bytes, Item]) -> Change:
-            seat = known.seats.get(name)
-            if seat is None:
-                there = ", ".join(sorted(known.seats)) or "nobody is"
-                raise Refused(f"{name} is not in this fleet: {there}")
-            wish = Wish(name, do, seat.incarnation, version, self._by, why)
-            value = self._value(**wish.values())
+        def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
+            registration = snapshot.registrations.get(name)
+            if registration is None:
+                there = ", ".join(sorted(snapshot.registrations)) or "nobody is"
+                raise OperationRefused(f"{name} is not in this fleet: {there}")
+            request = MemberRequest(name, do, registration.incarnation, version, self._by, why)
+            value = self._value(**request.values())
             return self._item(items, "wish", name), value, [unchanged(self._item(items, "seat", name))], []
 
         yield from self._change(f"{do} {name}", why, change)
@@ -89,9 +98,9 @@
     def undrain(self, name: str, why: str) -> Coroutine[None]:
         """Want it back; nothing is left to do where nobody wanted it out."""
 
-        def change(known: Known, items: dict[bytes, Item]) -> Change:
-            if name not in known.wishes:
-                raise Refused(f"nobody wants {name} out")
+        def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
+            if name not in snapshot.member_requests:
+                raise OperationRefused(f"nobody wants {name} out")
             return self._item(items, "wish", name), None, [], []
 
         yield from self._change(f"undrain {name}", why, change)
@@ -102,11 +111,11 @@
         Guards nothing: whoever says it of a process that still runs breaks the limits by one.
         """
 
-        def change(known: Known, items: dict[bytes, Item]) -> Change:
-            if name not in known.seats:
-                raise Refused(f"{name} is not in this fleet")
-            if name in known.words:
-                raise Refused(f"{name} is there: its process has spoken within its lease")
+        def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
+            if name not in snapshot.registrations:
+                raise OperationRefused(f"{name} is not in this fleet")
+            if name in snapshot.heartbeats:
+                raise OperationRefused(f"{name} is there: its process has spoken within its lease")
             return (
                 self._item(items, "seat", name),
                 None,
@@ -124,17 +133,17 @@
 
     def runners(self) -> Coroutine[list[dict[str, Any]]]:
         """A row for each runner that is drained or wanted so."""
-        known, _ = yield from self.look()
+        snapshot, _ = yield from self.look()
         rows = []
-        for pool, runner in sorted(set(known.wants) | set(known.marks)):
-            marked = (pool, runner) in known.marks
-            waits = unconfirmed(known, pool, runner) if marked else []
+        for pool, runner in sorted(set(snapshot.runner_requests) | set(snapshot.runner_drains)):
+            marked = (pool, runner) in snapshot.runner_drains
+            waits = unconfirmed(snapshot, pool, runner) if marked else []
             rows.append(
                 {
                     "pool": pool,
                     "name": runner,
-                    "by": known.wants.get((pool, runner), Mark("")).by,
-                    "why": known.wants.get((pool, runner), Mark("")).why,
+                    "by": snapshot.runner_requests.get((pool, runner), RunnerDrain("")).by,
+                    "why": snapshot.runner_requests.get((pool, runner), RunnerDrain("")).why,
                     "state": "wanted" if not marked else "draining" if waits else "drained",
                     "waits": waits,
                 }
@@ -144,9 +153,9 @@
     def drain_runner(self, pool: str, runner: str, why: str) -> Coroutine[None]:
         """Want a runner drained; it is marked once the limits allow it."""
 
-        def change(known: Known, items: dict[bytes, Item]) -> Change:
-            if not known.seats:
-                raise Refused("nobody is in this fleet")
+        def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
+            if not snapshot.registrations:
+                raise OperationRefused("nobody is in this fleet")
             return self._item(items, "want", pool, runner), self._value(by=self._by, why=why), [], []
 
         yield from self._change(f"want {pool}/{runner} drained", why, change)
@@ -154,10 +163,10 @@
     def undrain_runner(self, pool: str, runner: str, why: str) -> Coroutine[None]:
         """Give it work again."""
 
-        def change(known: Known, items: dict[bytes, Item]) -> Change:
+        def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
             mark, want = self._item(items, "mark", pool, runner), self._item(items, "want", pool, runner)
             if mark.value is None and want.value is None:
-                raise Refused(f"nobody wants {runner} of pool {pool} drained")
+                raise OperationRefused(f"nobody wants {runner} of pool {pool} drained")
             # One operation for all members: the store turns down a transaction of more than 128 of them.
             acks = delete(*self._keys.below("ack", pool, runner))
             also = [put(self._keys.roll_runners, self._value()), acks]
@@ -172,9 +181,9 @@
         """Start a release; raises `Refused` where it can't be carried out."""
         told: list[Release] = []
 
-        def change(known: Known, items: dict[bytes, Item]) -> Change:
-            told[:] = [release.begin(plan, known)]
-            return stands(items, self._keys.release), self._value(**records.written(told[0])), [], []
+        def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
+            told[:] = [release.begin(plan, snapshot)]
+            return stands(items, self._keys.release), self._value(**records.release_values(told[0])), [], []
 
         yield from self._change(f"release {plan.name}: start", plan.version, change)
         return told[0]
@@ -187,15 +196,15 @@
             release.State.BACKING: ("running", "halted", "done"),
         }[to]
 
-        def change(known: Known, items: dict[bytes, Item]) -> Change:
-            now = known.release
+        def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
+            now = snapshot.release
             if now is None or now.state not in come_from:
-                raise Refused(
+                raise OperationRefused(
                     "no release is in hand" if now is None else f"release {now.name} is {now.state}"
                 )
             # Wishes that have no permit yet are not carried out any more.
-            dropped = release.idle_wishes(now, known)
-            value = self._value(**records.written(replace(now, state=to.value, why=why)))
+            dropped = release.idle_wishes(now, snapshot)
+            value = self._value(**records.release_values(replace(now, state=to.value, why=why)))
             return (
                 stands(items, self._keys.release),
                 value,
@@ -212,11 +221,11 @@
         return records.encode(mark=f"{self._random.getrandbits(64):016x}", **values)
 
     def _change(
-        self, what: str, why: str, change: Callable[[Known, dict[bytes, Item]], Change]
+        self, what: str, why: str, change: Callable[[Snapshot, dict[bytes, Item]], Change]
     ) -> Coroutine[None]:
         for _ in range(TRIES):
-            known, items = yield from self.look()
-            item, value, guards, also = change(known, items)
+            snapshot, items = yield from self.look()
+            item, value, guards, also = change(snapshot, items)
             at = time.time_ns() // 1_000_000
             line = records.line(self._keys, at, self._by, what, why, self._random.getrandbits(32))
             other = yield from self._client.commit(
@@ -224,4 +233,4 @@
             )
             if other is None:
                 return
-        raise Refused("the records change too fast; nothing was done")
+        raise OperationRefused("the records change too fast; nothing was done")
--- a/pulleyroute/fleet/records.py
+++ b/pulleyroute/fleet/records.py
@@ -28,17 +28,17 @@
 from typing import Any, Literal
 from urllib.parse import quote, unquote
 
-from pulleyroute.fleet.members import Seat, Word
+from pulleyroute.fleet.members import Heartbeat, Registration
 
 Do = Literal["standby", "restart"]
 
 
-class Refused(Exception):
+class OperationRefused(Exception):
     """What an operator wants can't be done; the text is one plain line."""
 
 
 @dataclass(slots=True, frozen=True)
-class Wish:
+class MemberRequest:
     """What is wanted of a member. `incarnation`: of the process that is to go; a newer one has gone."""
 
     name: str
@@ -95,11 +95,11 @@
     before: float
 
 
-Place = tuple[str, str]  # a pool's name and a runner's
+RunnerKey = tuple[str, str]  # a pool's name and a runner's
 
 
 @dataclass(slots=True, frozen=True)
-class Mark:
+class RunnerDrain:
     """That a runner is drained, or wanted so. `token`: unlike any other's."""
 
     token: str
@@ -108,23 +108,23 @@
 
 
 @dataclass(slots=True)
-class Known:
+class Snapshot:
     """The records of a group as they stood at a revision."""
 
-    seats: dict[str, Seat] = field(default_factory=dict)
+    registrations: dict[str, Registration] = field(default_factory=dict)
     tokens: dict[str, str] = field(default_factory=dict)  # of the processes that have the seats
-    words: dict[str, Word] = field(default_factory=dict)
+    heartbeats: dict[str, Heartbeat] = field(default_factory=dict)
     permits: dict[str, int] = field(default_factory=dict)  # the incarnation that took it
-    wishes: dict[str, Wish] = field(default_factory=dict)
-    wants: dict[Place, Mark] = field(default_factory=dict)
-    marks: dict[Place, Mark] = field(default_factory=dict)
+    member_requests: dict[str, MemberRequest] = field(default_factory=dict)
+    runner_requests: dict[RunnerKey, RunnerDrain] = field(default_factory=dict)
+    runner_drains: dict[RunnerKey, RunnerDrain] = field(default_factory=dict)
     # By pool, runner and member: the incarnation that said so, and of which mark.
     acks: dict[tuple[str, str, str], tuple[int, str]] = field(default_factory=dict)
-    lead: str = ""  # the token of the process that leads
+    leader_token: str = ""  # the token of the process that leads
     release: Release | None = None
     health: dict[str, Health] = field(default_factory=dict)
     history: list[Event] = field(default_factory=list)
-    spoilt: list[str] = field(default_factory=list)  # keys
+    unreadable: list[str] = field(default_factory=list)  # keys
 
 
 class Keys:
@@ -135,7 +135,7 @@
         self.end = self.prefix[:-1] + b"0"  # the byte after "/"
         self.roll = self.prefix + b"roll"
         self.roll_runners = self.prefix + b"roll-runners"
-        self.lead, self.release = self.prefix + b"lead", self.prefix + b"release"
+        self.leader, self.release = self.prefix + b"lead", self.prefix + b"release"
 
     def of(self, kind: str, *names: str) -> bytes:
         return self.prefix + "/".join([kind, *(quote(name, safe="") for name in names)]).encode()
@@ -167,9 +167,9 @@
     return keys.of("history", f"{at:013d}-{mark:08x}"), encode(at=at, by=by, what=what, why=why)
 
 
-def known(keys: Keys, values: Iterable[tuple[bytes, bytes | None]]) -> Known:
+def parse_snapshot(keys: Keys, values: Iterable[tuple[bytes, bytes | None]]) -> Snapshot:
     """What the records say, by key and value; None for a value that is gone."""
-    out = Known()
+    out = Snapshot()
     for key, value in values:
         if value is None or not key.startswith(keys.prefix):
             continue
@@ -178,12 +178,12 @@
             _read(out, kind, names, value)
         except (ValueError, KeyError, TypeError):
             # Guards everybody else: one poisoned record is set aside and told of, and stops nothing.
-            out.spoilt.append("/".join([kind, *names]))
+            out.unreadable.append("/".join([kind, *names]))
     out.history.sort(key=lambda event: event.at)
     return out
 
 
-def _read(out: Known, kind: str, names: list[str], value: bytes) -> None:
+def _read(out: Snapshot, kind: str, names: list[str], value: bytes) -> None:
     if kind not in (
         "seat",
         "word",
@@ -205,15 +205,15 @@
         )
         return
     if kind == "lead":
-        out.lead = str(read["token"])
+        out.leader_token = str(read["token"])
         return
     if kind == "release":
         out.release = _release(read)
         return
     if kind in ("want", "mark"):
         pool, runner = names
-        mark = Mark(str(read["mark"]), str(read.get("by", "")), str(read.get("why", "")))
-        (out.wants if kind == "want" else out.marks)[pool, runner] = mark
+        mark = RunnerDrain(str(read["mark"]), str(read.get("by", "")), str(read.get("why", "")))
+        (out.runner_requests if kind == "want" else out.runner_drains)[pool, runner] = mark
         return
     if kind == "ack":
         pool, runner, member = names
@@ -226,16 +226,18 @@
         return
     if kind == "seat":
         out.tokens[name] = str(read["token"])
-        out.seats[name] = Seat(name, number, str(read.get("zone", "")), str(read.get("region", "")))
+        out.registrations[name] = Registration(
+            name, number, str(read.get("zone", "")), str(read.get("region", ""))
+        )
     elif kind == "word":
-        out.words[name] = Word(name, number, str(read["phase"]), str(read.get("version", "")))
+        out.heartbeats[name] = Heartbeat(name, number, str(read["phase"]), str(read.get("version", "")))
     elif kind == "permit":
         out.permits[name] = number
     else:
         do = read["do"]
         if do not in ("standby", "restart"):
             raise ValueError(f"a wish for {do!r}")
-        out.wishes[name] = Wish(
+        out.member_requests[name] = MemberRequest(
             name, do, number, str(read.get("version", "")), str(read.get("by", "")), str(read.get("why", ""))
         )
 
@@ -261,7 +263,7 @@
     return release
 
 
-def written(release: Release) -> dict[str, Any]:
+def release_values(release: Release) -> dict[str, Any]:
     """A release as its record's values."""
     return {name: getattr(release, name) for name in Release.__slots__}
 
--- a/pulleyroute/fleet/release.py
+++ b/pulleyroute/fleet/release.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from pulleyroute.fleet.drains import Part
-from pulleyroute.fleet.members import Standing, picture
-from pulleyroute.fleet.records import Health, Known, Refused, Release, Wish
+from pulleyroute.fleet.drains import CountOrShare
+from pulleyroute.fleet.members import MemberStatus, member_statuses
+from pulleyroute.fleet.records import Health, MemberRequest, OperationRefused, Release, Snapshot
 
 TOLERANCE = 0.05  # of the share served that a part may lie under the other, or under the time before
 ENOUGH = 20  # jobs ended, for a part's service to be judged
@@ -50,7 +50,7 @@
 
     name: str
     version: str
-    waves: tuple[Part, ...]
+    waves: tuple[CountOrShare, ...]
     zones: tuple[str, ...] = ()  # empty for all
     of_version: str = ""  # only members of this version
     at_once: int = 1
@@ -59,23 +59,27 @@
     on_failure: str = "halt"  # or "back"
 
 
-def begin(plan: Plan, known: Known) -> Release:
+def begin(plan: Plan, snapshot: Snapshot) -> Release:
     """The record of a release that starts now; raises `Refused`.
 
     Members come in the order of their names, dealt out over the zones so that each wave meets all of them.
     """
-    if known.release is not None and known.release.state in (*ACTIVE, State.HALTED.value):
-        raise Refused(f"release {known.release.name} is {known.release.state}: take it back, or resume it")
+    if snapshot.release is not None and snapshot.release.state in (*ACTIVE, State.HALTED.value):
+        raise OperationRefused(
+            f"release {snapshot.release.name} is {snapshot.release.state}: take it back, or resume it"
+        )
     zones: dict[str, list[str]] = {}
-    for name, seat in sorted(known.seats.items()):
-        word = known.words.get(name)
-        version = word.version if word is not None else ""
-        if (plan.zones and seat.zone not in plan.zones) or (plan.of_version and version != plan.of_version):
+    for name, registration in sorted(snapshot.registrations.items()):
+        heartbeat = snapshot.heartbeats.get(name)
+        version = heartbeat.version if heartbeat is not None else ""
+        if (plan.zones and registration.zone not in plan.zones) or (
+            plan.of_version and version != plan.of_version
+        ):
             continue
-        zones.setdefault(seat.zone, []).append(name)
-    missing = set(plan.zones) - {seat.zone for seat in known.seats.values()}
+        zones.setdefault(registration.zone, []).append(name)
+    missing = set(plan.zones) - {registration.zone for registration in snapshot.registrations.values()}
     if missing:
-        raise Refused(f"no member stands in zone {', '.join(sorted(missing))}")
+        raise OperationRefused(f"no member stands in zone {', '.join(sorted(missing))}")
     order = [
         name
         for rank in range(max(map(len, zones.values()), default=0))
@@ -83,15 +87,15 @@
         for name in names[rank : rank + 1]
     ]
     if not order:
-        raise Refused("no member is meant by it")
-    silent = [name for name in order if name not in known.words]
+        raise OperationRefused("no member is meant by it")
+    silent = [name for name in order if name not in snapshot.heartbeats]
     if silent:
-        raise Refused(f"{', '.join(silent)} can't be reached; see `pulleyroute fleet members`")
+        raise OperationRefused(f"{', '.join(silent)} can't be reached; see `pulleyroute fleet members`")
     counts: list[int] = []
     for part in plan.waves:
         count = min(len(order), max(1, part.of(len(order))))
         if counts and count < counts[-1]:
-            raise Refused("a wave has fewer members than the one before")
+            raise OperationRefused("a wave has fewer members than the one before")
         if not counts or count > counts[-1]:
             counts.append(count)
     if not counts or counts[-1] < len(order):
@@ -104,7 +108,7 @@
         0,
         tuple(counts),
         tuple(order),
-        tuple(known.words[name].version for name in order),
+        tuple(snapshot.heartbeats[name].version for name in order),
         plan.at_once,
         plan.soak,
         plan.patience,
@@ -133,52 +137,60 @@
     """What to write: the record's new state, or wishes, or both; neither where there is only to wait."""
 
     release: Release | None = None
-    wishes: tuple[Wish, ...] = ()
+    member_requests: tuple[MemberRequest, ...] = ()
     dropped: tuple[str, ...] = ()  # members whose wish is taken back
     wait: str = ""  # what it waits for
 
 
-def there(name: str, version: str, known: Known) -> bool:
+def there(name: str, version: str, snapshot: Snapshot) -> bool:
     """Whether a member serves as that version, with nothing left to do."""
-    how = picture([known.seats[name]], known.words, known.permits)[name] if name in known.seats else None
-    return how is Standing.SERVING and known.words[name].version == version and name not in known.wishes
+    how = (
+        member_statuses([snapshot.registrations[name]], snapshot.heartbeats, snapshot.permits)[name]
+        if name in snapshot.registrations
+        else None
+    )
+    return (
+        how is MemberStatus.SERVING
+        and snapshot.heartbeats[name].version == version
+        and name not in snapshot.member_requests
+    )
 
 
-def step(known: Known, seen: Seen, now: int) -> Move:
+def step(snapshot: Snapshot, seen: Seen, now: int) -> Move:
     """What the leader does next; `seen` is brought up to date."""
-    release = known.release
+    release = snapshot.release
     if release is None or release.state not in ACTIVE:
         return Move()
     key = (release.name, release.wave, release.state)
     if seen.wave != key:
         seen.wave, seen.since, seen.whole = key, now, None
         seen.base = {}
-    for name, health in known.health.items():
+    for name, health in snapshot.health.items():
         seen.base.setdefault(name, health)  # as the wave began, or as it first told of itself
     if release.state == State.BACKING.value:
-        return _backing(release, known, seen, now)
+        return _backing(release, snapshot, seen, now)
     if release.before == UNCOUNTED:
         # Counts are told while a release is in hand alone: what was served before is of all processes' lives.
-        if not set(known.words) <= set(known.health) and now - seen.since < COUNT_TIME:
+        if not set(snapshot.heartbeats) <= set(snapshot.health) and now - seen.since < COUNT_TIME:
             return Move(wait="waits for the counts of jobs")
-        good, ended = _sum(known.health, list(known.health))
+        good, ended = _sum(snapshot.health, list(snapshot.health))
         return Move(replace(release, before=good / ended if ended >= ENOUGH else TOO_FEW))
     target = release.members[: release.counts[release.wave]]
-    parts = _parts(release, known, seen)
+    parts = _parts(release, snapshot, seen)
     bad = _blamed(release, *parts)
     if bad is not None:
-        return _fail(release, known, bad)
-    waiting = [name for name in target if not there(name, release.version, known)]
+        return _fail(release, snapshot, bad)
+    waiting = [name for name in target if not there(name, release.version, snapshot)]
     if waiting:
         seen.whole = None
         if now - seen.since > release.patience:
             return _fail(
                 release,
-                known,
+                snapshot,
                 f"wave {release.wave + 1} is over its patience: "
                 f"{', '.join(waiting)} did not come back as {release.version}",
             )
-        return _wish(release, known, [(name, release.version) for name in waiting])
+        return _wish(release, snapshot, [(name, release.version) for name in waiting])
     if seen.whole is None:
         seen.whole = now
     if now - seen.whole < release.soak:
@@ -191,17 +203,21 @@
     return Move(replace(release, state=State.DONE.value))
 
 
-def _wish(release: Release, known: Known, meant: list[tuple[str, str]]) -> Move:
+def _wish(release: Release, snapshot: Snapshot, meant: list[tuple[str, str]]) -> Move:
     """Want the next ones started again, so many at once."""
     by = author(release)
-    out = [name for name, _ in meant if name in known.wishes]
+    out = [name for name, _ in meant if name in snapshot.member_requests]
     room = release.at_once - len(out)
     new = [
-        Wish(name, "restart", known.seats[name].incarnation, version, by, by)
+        MemberRequest(name, "restart", snapshot.registrations[name].incarnation, version, by, by)
         for name, version in meant
-        if name in known.words and name not in known.wishes and name not in known.permits
+        if name in snapshot.heartbeats
+        and name not in snapshot.member_requests
+        and name not in snapshot.permits
     ][: max(0, room)]
-    return Move(wishes=tuple(new), wait="" if new else f"waits for {', '.join(name for name, _ in meant)}")
+    return Move(
+        member_requests=tuple(new), wait="" if new else f"waits for {', '.join(name for name, _ in meant)}"
+    )
 
 
 def author(release: Release) -> str:
@@ -209,65 +225,69 @@
     return f"release {release.name}"
 
 
-def idle_wishes(release: Release, known: Known) -> tuple[str, ...]:
+def idle_wishes(release: Release, snapshot: Snapshot) -> tuple[str, ...]:
     """Members with a wish of this release that have no permit yet: it can be taken back."""
     return tuple(
         name
-        for name, wish in known.wishes.items()
-        if wish.by == author(release) and name not in known.permits
+        for name, request in snapshot.member_requests.items()
+        if request.by == author(release) and name not in snapshot.permits
     )
 
 
-def _fail(release: Release, known: Known, why: str) -> Move:
+def _fail(release: Release, snapshot: Snapshot, why: str) -> Move:
     state = State.BACKING if release.on_failure == "back" else State.HALTED
-    return Move(replace(release, state=state.value, why=why), dropped=idle_wishes(release, known))
+    return Move(replace(release, state=state.value, why=why), dropped=idle_wishes(release, snapshot))
 
 
-def _backing(release: Release, known: Known, seen: Seen, now: int) -> Move:
+def _backing(release: Release, snapshot: Snapshot, seen: Seen, now: int) -> Move:
     was = dict(zip(release.members, release.previous, strict=True))
-    waiting = [name for name in reversed(release.members) if not there(name, was[name], known)]
+    waiting = [name for name in reversed(release.members) if not there(name, was[name], snapshot)]
     if not waiting:
         return Move(replace(release, state=State.BACK.value))
     if now - seen.since > release.patience:
-        versions = {name: word.version for name, word in known.words.items()}
+        versions = {name: heartbeat.version for name, heartbeat in snapshot.heartbeats.items()}
         stand = ", ".join(f"{name} as {versions.get(name, 'nobody knows what')}" for name in waiting)
         why = f"the way back is over its patience: {stand}"
-        return Move(replace(release, state=State.HALTED.value, why=why), dropped=idle_wishes(release, known))
+        return Move(
+            replace(release, state=State.HALTED.value, why=why), dropped=idle_wishes(release, snapshot)
+        )
     wrong = [
         name
         for name in waiting
-        if name in known.wishes and name not in known.permits and known.wishes[name].version != was[name]
+        if name in snapshot.member_requests
+        and name not in snapshot.permits
+        and snapshot.member_requests[name].version != was[name]
     ]
     if wrong:
         return Move(dropped=tuple(wrong))
-    return _wish(release, known, [(name, was[name]) for name in waiting])
+    return _wish(release, snapshot, [(name, was[name]) for name in waiting])
 
 
-def _parts(release: Release, known: Known, seen: Seen) -> tuple[Served, Served]:
+def _parts(release: Release, snapshot: Snapshot, seen: Seen) -> tuple[Served, Served]:
     """Jobs served and ended: by those that have the version, and by the others since the wave began."""
     target = set(release.members[: release.counts[release.wave]])
     new = [
         name
-        for name, word in known.words.items()
-        if word.version == release.version and name in target and _present(name, known)
+        for name, heartbeat in snapshot.heartbeats.items()
+        if heartbeat.version == release.version and name in target and _present(name, snapshot)
     ]
     old = [
         name
-        for name in known.seats
+        for name in snapshot.registrations
         if name not in target
-        and name in known.health
+        and name in snapshot.health
         and name in seen.base
-        and known.health[name].incarnation == seen.base[name].incarnation
+        and snapshot.health[name].incarnation == seen.base[name].incarnation
     ]
-    good = sum(known.health[name].good - seen.base[name].good for name in old)
-    ended = sum(known.health[name].ended - seen.base[name].ended for name in old)
-    return _sum(known.health, new), (good, ended)
+    good = sum(snapshot.health[name].good - seen.base[name].good for name in old)
+    ended = sum(snapshot.health[name].ended - seen.base[name].ended for name in old)
+    return _sum(snapshot.health, new), (good, ended)
 
 
-def _present(name: str, known: Known) -> bool:
+def _present(name: str, snapshot: Snapshot) -> bool:
     """Guards against the counts of the process before: they are of the old version."""
-    health, word = known.health.get(name), known.words.get(name)
-    return health is not None and word is not None and health.incarnation == word.incarnation
+    health, heartbeat = snapshot.health.get(name), snapshot.heartbeats.get(name)
+    return health is not None and heartbeat is not None and health.incarnation == heartbeat.incarnation
 
 
 def _blamed(release: Release, new: Served, others: Served) -> str | None:
--- a/pulleyroute/fleet/runners.py
+++ b/pulleyroute/fleet/runners.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from pulleyroute.fleet.drains import Part
-from pulleyroute.fleet.records import Known
+from pulleyroute.fleet.drains import CountOrShare
+from pulleyroute.fleet.records import Snapshot
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,9 +28,9 @@
 class RunnerBounds:
     """How many of a pool's runners may be out at once; None for no limit. Leaving and gone ones count."""
 
-    pool: Part | None = None
-    hall: Part | None = None
-    kind: Part | None = None
+    pool: CountOrShare | None = None
+    hall: CountOrShare | None = None
+    kind: CountOrShare | None = None
 
 
 def refusal(name: str, runners: Iterable[Runner], marked: set[str], bounds: RunnerBounds) -> str | None:
@@ -57,23 +57,32 @@
     return None
 
 
-def hand(known: Known) -> str | None:
+def hand(snapshot: Snapshot) -> str | None:
     """Whose turn it is to mark what is wanted: the first of those that have spoken within their lease.
 
     It spares the others the race; a mark's own guards keep it safe, whoever writes it.
     """
-    return min(known.words, default=None)
+    return min(snapshot.heartbeats, default=None)
 
 
-def acknowledged(known: Known, pool: str, runner: str, member: str) -> bool:
+def acknowledged(snapshot: Snapshot, pool: str, runner: str, member: str) -> bool:
     """Whether a member has said that it has nothing there, as the process that it is now."""
-    mark, seat, word = known.marks.get((pool, runner)), known.seats.get(member), known.words.get(member)
-    if mark is None or seat is None or word is None or word.incarnation != seat.incarnation:
+    mark, registration, heartbeat = (
+        snapshot.runner_drains.get((pool, runner)),
+        snapshot.registrations.get(member),
+        snapshot.heartbeats.get(member),
+    )
+    if (
+        mark is None
+        or registration is None
+        or heartbeat is None
+        or heartbeat.incarnation != registration.incarnation
+    ):
         # Guards against a member that was cut off after it had said so: started anew, it may not know.
         return False
-    return known.acks.get((pool, runner, member)) == (seat.incarnation, mark.token)
+    return snapshot.acks.get((pool, runner, member)) == (registration.incarnation, mark.token)
 
 
-def unconfirmed(known: Known, pool: str, runner: str) -> list[str]:
+def unconfirmed(snapshot: Snapshot, pool: str, runner: str) -> list[str]:
     """The members that may still send there; none if the drain is confirmed."""
-    return [name for name in sorted(known.seats) if not acknowledged(known, pool, runner, name)]
+    return [name for name in sorted(snapshot.registrations) if not acknowledged(snapshot, pool, runner, name)]
--- a/pulleyroute/lab/fleet/rig.py
+++ b/pulleyroute/lab/fleet/rig.py
@@ -24,9 +24,9 @@
 from pulleyroute.emulator.exchange import exchange
 from pulleyroute.emulator.link import Link
 from pulleyroute.fleet import release
-from pulleyroute.fleet.drains import Part
+from pulleyroute.fleet.drains import CountOrShare
 from pulleyroute.fleet.operate import Operator
-from pulleyroute.fleet.records import Refused
+from pulleyroute.fleet.records import OperationRefused
 from pulleyroute.fleet.store import Client, Lost, Turned
 from pulleyroute.lab.fleet.checker import Asked, Limits, Look, Saw, judge
 from pulleyroute.lab.fleet.schedule import (
@@ -458,7 +458,7 @@
         with contextlib.suppress(Lost, Turned):
             known, _ = yield from self.operator.look()
             for name, token in known.tokens.items():
-                if token == known.lead:
+                if token == known.leader_token:
                     self._do(replace(deed, what=deed.what[:4], who=int(name[1:])))
 
     def _after(self, span: int, action: Callable[[], None]) -> None:
@@ -536,7 +536,7 @@
                 self.note(f"operator: {deed.what} {name}: {exc}")
                 if self.loop.now() >= end:
                     return
-            except (Turned, Refused) as exc:
+            except (Turned, OperationRefused) as exc:
                 self.note(f"operator: {deed.what} {name}: {exc}")
                 return
             yield Wait(until=self.loop.now() + LOOK)
@@ -557,7 +557,7 @@
         plan = release.Plan(
             f"r{deed.at}",
             deed.more,
-            (Part(count=1), Part(share=0.5), Part(share=1.0)),
+            (CountOrShare(count=1), CountOrShare(share=0.5), CountOrShare(share=1.0)),
             at_once=2,
             soak=5 * SECOND,
             patience=self._shape.patience,
@@ -573,14 +573,14 @@
                 "release-back": release.State.BACKING,
             }[deed.what]
             yield from self.operator.move(to, "by hand")
-        except (Lost, Turned, Refused) as exc:
+        except (Lost, Turned, OperationRefused) as exc:
             self.note(f"operator: {deed.what}: {exc}")
 
     def _end_release(self) -> Coroutine[None]:
         """Wait until the release in hand has ended; a halted one is taken back."""
         end = self.loop.now() + 2 * PATIENCE
         while self.loop.now() < end:
-            with contextlib.suppress(Lost, Turned, Refused):
+            with contextlib.suppress(Lost, Turned, OperationRefused):
                 known, _ = yield from self.operator.look()
                 if known.release is None:
                     return
@@ -673,13 +673,15 @@
         while self._agreement:
             try:
                 known, _ = yield from self.operator.look()
-                for name in known.wishes:
-                    with contextlib.suppress(Refused):
+                for name in known.member_requests:
+                    with contextlib.suppress(OperationRefused):
                         yield from self.operator.undrain(name, "the run ends")
-                for pool, box in {*known.wants, *known.marks}:
-                    with contextlib.suppress(Refused):
+                for pool, box in {*known.runner_requests, *known.runner_drains}:
+                    with contextlib.suppress(OperationRefused):
                         yield from self._undrain_box(pool, box)
-                if self._all_ready() and not (known.wishes or known.permits or known.wants or known.marks):
+                if self._all_ready() and not (
+                    known.member_requests or known.permits or known.runner_requests or known.runner_drains
+                ):
                     break
             except (Lost, Turned):
                 pass
@@ -732,7 +734,7 @@
         while self.loop.now() < end:
             with contextlib.suppress(Lost, Turned):
                 known, _ = yield from self.operator.look()
-                if len(known.words) == self._shape.members:
+                if len(known.heartbeats) == self._shape.members:
                     return
             yield Wait(until=self.loop.now() + SECOND // 10)
         raise TimeoutError("the fleet did not come together")
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -6,8 +6,8 @@
 
 from pulleyroute.emulator.store import Server
 from pulleyroute.fleet.agent import Agent, Place
-from pulleyroute.fleet.drains import Bounds, Part
-from pulleyroute.fleet.operate import Operator, Refused
+from pulleyroute.fleet.drains import Bounds, CountOrShare
+from pulleyroute.fleet.operate import OperationRefused, Operator
 from pulleyroute.fleet.runners import Runner, RunnerBounds
 from pulleyroute.fleet.store import Client, Item
 from pulleyroute.net.buffers import BufferPool
@@ -53,7 +53,7 @@
     def __init__(self, tmp_path, **bounds):
         self.loop, self.log = ManualClockLoop(), tmp_path / "log"
         self.server = Server(self.loop, log=self.log)
-        self.bounds = Bounds(**{"fleet": Part(count=1), "least_serving": 1, **bounds})
+        self.bounds = Bounds(**{"fleet": CountOrShare(count=1), "least_serving": 1, **bounds})
         self.services, self.agents, self.seed = {}, {}, 0
         client = Client(self.loop, BufferPool(), [self.server.address], 1)
         self.operator = Operator(self.loop, client, "g", "ann", 1)
@@ -61,7 +61,7 @@
     def join(self, name, zone="z", version="v1"):
         self.seed += 1
         service = Service()
-        place = Place("g", name, zone, "r", version, 5, self.bounds, RunnerBounds(pool=Part(count=1)))
+        place = Place("g", name, zone, "r", version, 5, self.bounds, RunnerBounds(pool=CountOrShare(count=1)))
         service.agent = Agent(self.loop, BufferPool(), [self.server.address], place, service, self.seed)
         self.services[name], self.agents[name] = service, service.agent
         service.agent.start()
@@ -148,7 +148,7 @@
     fleet.do(fleet.operator.drain("b", "standby", ""))
     fleet.skip(12)  # its lease is over
     assert fleet.rows()["a"]["standing"] == "on a permit" and fleet.services["b"].phase is Phase.SERVING
-    with pytest.raises(Refused, match="c is there"):
+    with pytest.raises(OperationRefused, match="c is there"):
         fleet.do(fleet.operator.forget("c", ""))
     fleet.do(fleet.operator.forget("a", "the machine burnt"))
     fleet.until(lambda: "b" in fleet.out())
@@ -219,7 +219,7 @@
     together(fleet, "a", "b", "c")
     agent = fleet.agents["a"]
     fleet.do(fleet.operator.drain("a", "standby", ""))
-    fleet.until(lambda: "a" in agent.known.permits or fleet.out())
+    fleet.until(lambda: "a" in agent.snapshot.permits or fleet.out())
     if not fleet.out():
         agent._fresh_at -= 60 * SECOND
         assert not agent._may_go()
@@ -295,7 +295,7 @@
     fleet.do(fleet.operator.undrain_runner("p", "r1", ""))
     fleet.until(lambda: states(fleet) == {"r2": ("drained", [])})
     assert fleet.services["a"].marked == {("p", "r2")}
-    with pytest.raises(Refused, match="nobody wants r1"):
+    with pytest.raises(OperationRefused, match="nobody wants r1"):
         fleet.do(fleet.operator.undrain_runner("p", "r1", ""))
 
 
--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -9,7 +9,7 @@
 
 from pulleyroute.cli.app import app
 from pulleyroute.config import Invalid, load
-from pulleyroute.fleet.drains import Part
+from pulleyroute.fleet.drains import CountOrShare
 
 BASE = """
 listener "jobs" {
@@ -50,7 +50,11 @@
         )
     ).fleet
     assert fleet.store == [("127.0.0.1", 2379), ("127.0.0.2", 2379)] and fleet.lease == 3_000_000
-    assert (fleet.out, fleet.out_zone, fleet.out_region) == (Part(share=0.25), Part(count=1), None)
+    assert (fleet.out, fleet.out_zone, fleet.out_region) == (
+        CountOrShare(share=0.25),
+        CountOrShare(count=1),
+        None,
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -4,40 +4,56 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pulleyroute.fleet.members import Limits, Seat, Standing, Word, claims, picture, refusal, share, standing
+from pulleyroute.fleet.members import (
+    Heartbeat,
+    Limits,
+    MemberStatus,
+    Registration,
+    may_claim,
+    member_status,
+    member_statuses,
+    members_in_share,
+    refusal,
+)
 
-SEATS = [Seat(f"d{i}", 1, f"z{i % 2}", f"r{i // 3}") for i in range(6)]
+SEATS = [Registration(f"d{i}", 1, f"z{i % 2}", f"r{i // 3}") for i in range(6)]
 
 
-def words(*out, phase="serving"):
-    return {seat.name: Word(seat.name, 1, phase) for seat in SEATS if seat.name not in out}
+def heartbeats(*out, phase="serving"):
+    return {
+        registration.name: Heartbeat(registration.name, 1, phase)
+        for registration in SEATS
+        if registration.name not in out
+    }
 
 
-def known(*out, permits=()):
-    return picture(SEATS, words(*out), permits)
+def statuses_with(*out, permits=()):
+    return member_statuses(SEATS, heartbeats(*out), permits)
 
 
 @pytest.mark.parametrize(
-    ("word", "permitted", "how"),
+    ("heartbeat", "permitted", "how"),
     [
-        (Word("d0", 4, "serving"), False, Standing.SERVING),
-        (Word("d0", 4, "serving"), True, Standing.PERMITTED),  # it may go at any moment
-        (None, True, Standing.PERMITTED),  # its lease has run out, and that returns nothing
-        (None, False, Standing.SILENT),
-        (Word("d0", 3, "serving"), False, Standing.STALE),
-        (Word("d0", 4, "starting"), False, Standing.STARTING),
-        (Word("d0", 4, "standby"), False, Standing.STANDBY),
-        (Word("d0", 4, "ending"), False, Standing.ENDING),
-        (Word("d0", 4, "a phase of a later version"), False, Standing.ENDING),
+        (Heartbeat("d0", 4, "serving"), False, MemberStatus.SERVING),
+        (Heartbeat("d0", 4, "serving"), True, MemberStatus.PERMITTED),  # it may go at any moment
+        (None, True, MemberStatus.PERMITTED),  # its lease has run out, and that returns nothing
+        (None, False, MemberStatus.SILENT),
+        (Heartbeat("d0", 3, "serving"), False, MemberStatus.STALE),
+        (Heartbeat("d0", 4, "starting"), False, MemberStatus.STARTING),
+        (Heartbeat("d0", 4, "standby"), False, MemberStatus.STANDBY),
+        (Heartbeat("d0", 4, "ending"), False, MemberStatus.ENDING),
+        (Heartbeat("d0", 4, "a phase of a later version"), False, MemberStatus.ENDING),
     ],
 )
-def test_only_a_member_proved_to_be_serving_is_not_out(word, permitted, how):
-    assert standing(Seat("d0", 4, "z", "r"), word, permitted) is how
+def test_only_a_member_proved_to_be_serving_is_not_out(heartbeat, permitted, how):
+    assert member_status(Registration("d0", 4, "z", "r"), heartbeat, permitted) is how
 
 
 def test_the_newer_incarnation_holds_a_name():
-    seat = Seat("d0", 4, "z", "r")
-    assert [claims(seat, number) for number in (3, 4, 5)] == [False, True, True] and claims(None, 1)
+    registration = Registration("d0", 4, "z", "r")
+    assert [may_claim(registration, number) for number in (3, 4, 5)] == [False, True, True] and may_claim(
+        None, 1
+    )
 
 
 @pytest.mark.parametrize(
@@ -55,9 +71,9 @@
     ],
 )
 def test_limits_count_crashed_members_with_those_on_a_permit(limits, out, why):
-    assert refusal(SEATS, known(*out), limits, "d0") == why
-    assert refusal(SEATS, known(permits=out), limits, "d0") == why
-    assert refusal(SEATS, known(), limits, "nobody") == "nobody has no seat"
+    assert refusal(SEATS, statuses_with(*out), limits, "d0") == why
+    assert refusal(SEATS, statuses_with(permits=out), limits, "d0") == why
+    assert refusal(SEATS, statuses_with(), limits, "nobody") == "nobody has no seat"
 
 
 @given(
@@ -70,9 +86,9 @@
     crashed, permits = set(), set()
     for step, number in steps:
         name = f"d{number}"
-        how = known(*crashed, permits=permits)
+        how = statuses_with(*crashed, permits=permits)
         if step == "a":
-            out = {each for each, at in how.items() if at is not Standing.SERVING}
+            out = {each for each, at in how.items() if at is not MemberStatus.SERVING}
             may = refusal(SEATS, how, Limits(fleet=most, least_serving=least), name) is None
             if may and name not in permits:
                 permits.add(name)
@@ -89,4 +105,4 @@
     ("part", "of", "number"), [(0.5, 3, 1), (0.34, 3, 1), (0.1, 30, 3), (0, 9, 0), (1, 9, 9)]
 )
 def test_a_share_never_allows_more_than_it_says(part, of, number):
-    assert share(part, of) == number
+    assert members_in_share(part, of) == number
--- a/tests/fleet/test_release.py
+++ b/tests/fleet/test_release.py
@@ -6,12 +6,12 @@
 
 from pulleyroute.config import Invalid
 from pulleyroute.config.plan import load_plan
-from pulleyroute.fleet.drains import Part
-from pulleyroute.fleet.members import Seat, Word
-from pulleyroute.fleet.operate import Refused
-from pulleyroute.fleet.records import Health, Known, Wish
+from pulleyroute.fleet.drains import CountOrShare
+from pulleyroute.fleet.members import Heartbeat, Registration
+from pulleyroute.fleet.operate import OperationRefused
+from pulleyroute.fleet.records import Health, MemberRequest, Snapshot
 from pulleyroute.fleet.release import Move, Plan, Seen, State, begin, step
-from pulleyroute.fleet.release import Refused as NotSo
+from pulleyroute.fleet.release import OperationRefused as NotSo
 from pulleyroute.net.lifecycle import Phase
 from tests.fleet.test_agent import together
 
@@ -19,34 +19,36 @@
 PLAN = Plan(
     "r",
     "v2",
-    (Part(count=1), Part(share=0.5), Part(share=1.0)),
+    (CountOrShare(count=1), CountOrShare(share=0.5), CountOrShare(share=1.0)),
     at_once=2,
     soak=2 * SECOND,
     patience=30 * SECOND,
 )
 
 
-def known(*names, version="v1", good=95):
-    return Known(
-        {n: Seat(n, 1, f"z{i % 2}", "r") for i, n in enumerate(names)},
+def serving_snapshot(*names, version="v1", good=95):
+    return Snapshot(
+        {n: Registration(n, 1, f"z{i % 2}", "r") for i, n in enumerate(names)},
         dict.fromkeys(names, "t"),
-        {n: Word(n, 1, "serving", version) for n in names},
+        {n: Heartbeat(n, 1, "serving", version) for n in names},
         health={n: Health(1, good, 100) for n in names},
     )
 
 
 def started(plan=PLAN, names="abcd", **more):
-    now = known(*names, **more)
-    now.release = step(Known(words=now.words, health=now.health, release=begin(plan, now)), Seen(), 0).release
+    now = serving_snapshot(*names, **more)
+    now.release = step(
+        Snapshot(heartbeats=now.heartbeats, health=now.health, release=begin(plan, now)), Seen(), 0
+    ).release
     assert now.release.before == now.health[names[0]].good / 100
     return now
 
 
 def changed(now, name, good=95, ended=100):
     """As after its restart, serving the new version."""
-    now.wishes.pop(name, None)
-    now.seats[name] = replace(now.seats[name], incarnation=2)
-    now.words[name] = Word(name, 2, "serving", "v2")
+    now.member_requests.pop(name, None)
+    now.registrations[name] = replace(now.registrations[name], incarnation=2)
+    now.heartbeats[name] = Heartbeat(name, 2, "serving", "v2")
     now.health[name] = Health(2, good, ended)
 
 
@@ -54,7 +56,7 @@
     release = started(names="abcdef").release
     assert release.members == ("a", "b", "c", "d", "e", "f") and release.counts == (1, 3, 6)
     assert started(replace(PLAN, zones=("z1",))).release.members == ("b", "d")
-    assert started(replace(PLAN, waves=(Part(count=9),))).release.counts == (4,)
+    assert started(replace(PLAN, waves=(CountOrShare(count=9),))).release.counts == (4,)
 
 
 @pytest.mark.parametrize(
@@ -62,17 +64,20 @@
     [
         (replace(PLAN, zones=("z9",)), "no member stands in zone z9"),
         (replace(PLAN, of_version="v0"), "no member is meant by it"),
-        (replace(PLAN, waves=(Part(count=3), Part(count=1))), "a wave has fewer members than the one before"),
+        (
+            replace(PLAN, waves=(CountOrShare(count=3), CountOrShare(count=1))),
+            "a wave has fewer members than the one before",
+        ),
     ],
 )
 def test_a_plan_that_can_not_be_carried_out_is_refused_at_its_start(plan, why):
     with pytest.raises(NotSo, match=why):
-        begin(plan, known("a", "b", "c"))
+        begin(plan, serving_snapshot("a", "b", "c"))
 
 
 def test_a_silent_member_and_a_release_in_hand_refuse_another():
-    now = known("a", "b")
-    del now.words["b"]
+    now = serving_snapshot("a", "b")
+    del now.heartbeats["b"]
     with pytest.raises(NotSo, match="b can't be reached"):
         begin(PLAN, now)
     with pytest.raises(NotSo, match="release r is running"):
@@ -81,25 +86,25 @@
 
 def test_a_wave_is_wanted_soaked_and_followed_by_the_next():
     now, seen = started(), Seen()
-    (wish,) = step(now, seen, 0).wishes
-    assert (wish.name, wish.version, wish.incarnation) == ("a", "v2", 1)
-    now.wishes["a"] = wish
-    assert not step(now, seen, SECOND).wishes
+    (request,) = step(now, seen, 0).member_requests
+    assert (request.name, request.version, request.incarnation) == ("a", "v2", 1)
+    now.member_requests["a"] = request
+    assert not step(now, seen, SECOND).member_requests
     changed(now, "a")
     assert step(now, seen, 5 * SECOND).wait == "soaking"
     move = step(now, seen, 7 * SECOND)
     assert move.release.wave == 1
     now.release = move.release
-    assert [wish.name for wish in step(now, seen, 8 * SECOND).wishes] == ["b"]
+    assert [request.name for request in step(now, seen, 8 * SECOND).member_requests] == ["b"]
 
 
 def test_no_more_are_wanted_at_once_than_the_plan_says():
-    now = started(replace(PLAN, waves=(Part(share=1.0),)))
-    assert len(step(now, Seen(), 0).wishes) == 2
+    now = started(replace(PLAN, waves=(CountOrShare(share=1.0),)))
+    assert len(step(now, Seen(), 0).member_requests) == 2
 
 
 def test_a_release_waits_for_everybodys_counts_and_not_for_ever():
-    now, seen = known("a", "b"), Seen()
+    now, seen = serving_snapshot("a", "b"), Seen()
     now.release = begin(PLAN, now)
     told, now.health = now.health, {}
     assert step(now, seen, 0).wait == "waits for the counts of jobs"
@@ -122,7 +127,7 @@
 def test_a_member_that_does_not_come_back_halts_it_or_takes_it_back(on_failure, state):
     now, seen = started(replace(PLAN, on_failure=on_failure)), Seen()
     step(now, seen, 0)
-    now.wishes["a"] = Wish("a", "restart", 1, "v2", "release r")
+    now.member_requests["a"] = MemberRequest("a", "restart", 1, "v2", "release r")
     assert step(now, seen, 30 * SECOND).release is None
     move = step(now, seen, 31 * SECOND)
     assert move.release.state == state.value and "a did not come back as v2" in move.release.why
@@ -171,21 +176,23 @@
     for name in "ab":
         changed(now, name)
     move = step(now, seen, 0)
-    assert [(wish.name, wish.version, wish.incarnation) for wish in move.wishes] == [
+    assert [(request.name, request.version, request.incarnation) for request in move.member_requests] == [
         ("b", "v1", 2),
         ("a", "v1", 2),
     ]
     move = step(now, seen, 31 * SECOND)
     assert move.release.state == State.HALTED.value and "b as v2, a as v2" in move.release.why
     for name in "ab":
-        now.words[name] = Word(name, 2, "serving", "v1")
+        now.heartbeats[name] = Heartbeat(name, 2, "serving", "v1")
     assert step(now, seen, 32 * SECOND).release.state == State.BACK.value
 
 
 def test_a_plan_is_read_from_hcl_and_checked(tmp_path):
     path = tmp_path / "plan.hcl"
     path.write_text('release "r" {\n version = "v2"\n waves = [1, "50%"]\n soak = "2s"\n at_once = 3\n}\n')
-    assert load_plan(path) == Plan("r", "v2", (Part(count=1), Part(share=0.5)), at_once=3, soak=2 * SECOND)
+    assert load_plan(path) == Plan(
+        "r", "v2", (CountOrShare(count=1), CountOrShare(share=0.5)), at_once=3, soak=2 * SECOND
+    )
     for text, said in (
         ('waves = [1, "x"]', "2: release.r.waves: expected a list of numbers and shares"),
         ("waves = [1]\n version = 3", "3: release.r.version: expected a text"),
@@ -242,8 +249,8 @@
     together(fleet, *"abcd")
     platform = Platform(fleet)
     fleet.do(fleet.operator.start(PLAN))
-    fleet.until(lambda: fleet.do(fleet.operator.look())[0].lead)
-    token = fleet.do(fleet.operator.look())[0].lead
+    fleet.until(lambda: fleet.do(fleet.operator.look())[0].leader_token)
+    token = fleet.do(fleet.operator.look())[0].leader_token
     leader = next(name for name, agent in fleet.agents.items() if agent._token == token)
     platform.play(lambda: platform.state().wave == 1)
     old = fleet.agents[leader]
@@ -270,7 +277,7 @@
 def test_halt_and_resume_by_hand_and_what_can_not_be_done_now(fleet):
     together(fleet, *"abcd")
     platform = Platform(fleet)
-    with pytest.raises(Refused, match="no release is in hand"):
+    with pytest.raises(OperationRefused, match="no release is in hand"):
         fleet.do(fleet.operator.move(State.HALTED, ""))
     fleet.do(fleet.operator.start(PLAN))
     platform.play(lambda: platform.state().wave == 1)
@@ -280,28 +287,28 @@
     for _ in range(3):
         fleet.skip(3)
     assert sorted(row["version"] for row in fleet.rows().values()) == before[1]
-    with pytest.raises(Refused, match="release r is halted"):
+    with pytest.raises(OperationRefused, match="release r is halted"):
         fleet.do(fleet.operator.start(PLAN))
     fleet.do(fleet.operator.move(State.RUNNING, ""))
     platform.play(lambda: platform.state().state == "done")
-    with pytest.raises(Refused, match="release r is done"):
+    with pytest.raises(OperationRefused, match="release r is done"):
         fleet.do(fleet.operator.move(State.RUNNING, ""))
 
 
 def test_a_leader_that_was_paused_changes_nothing_once_its_election_is_over(fleet, monkeypatch):
     together(fleet, *"abc")
     fleet.do(fleet.operator.start(PLAN))
-    fleet.until(lambda: fleet.do(fleet.operator.look())[0].lead)
-    known, items = fleet.do(fleet.operator.look())
-    agent = next(agent for agent in fleet.agents.values() if agent._token == known.lead)
-    fleet.until(lambda: agent.known.lead)
+    fleet.until(lambda: fleet.do(fleet.operator.look())[0].leader_token)
+    snapshot, items = fleet.do(fleet.operator.look())
+    agent = next(agent for agent in fleet.agents.values() if agent._token == snapshot.leader_token)
+    fleet.until(lambda: agent.snapshot.leader_token)
     for each in fleet.agents.values():  # all stand still, and what they know with them
         each._task.cancel()
     agent._health_at = 2**62
     monkeypatch.setattr(
-        "pulleyroute.fleet.release.step", lambda known, seen, now: Move(replace(known.release, wave=1))
+        "pulleyroute.fleet.release.step", lambda snapshot, seen, now: Move(replace(snapshot.release, wave=1))
     )
-    lead = agent._mirror[agent._keys.lead]
+    lead = agent._mirror[agent._keys.leader]
     assert fleet.do(fleet.operator._client.commit(lead, None, fleet.loop.now() + 5 * SECOND)) is None
     fleet.do(agent._release())
     assert fleet.do(fleet.operator.look())[0].release.wave == 0
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -105,22 +105,22 @@
     "lapse": (
         STALLED,
         """
-def picture(seats, words, permits, whole=drains.picture):
+def picture(seats, words, permits, whole=drains.member_statuses):
     return whole([seat for seat in seats if seat.name in words], words, permits)
-drains.picture = picture
-drains.Bounds.unseen = lambda self, known: 0
+drains.member_statuses = picture
+drains.Bounds.unregistered = lambda self, known: 0
 """,
     ),
     # Only those on a permit count as out: a crashed one does not.
     "drained only": (
         STALLED,
         """
-from pulleyroute.fleet.members import Standing
+from pulleyroute.fleet.members import MemberStatus
 def picture(seats, words, permits):
-    return {seat.name: Standing.PERMITTED if seat.name in permits and seat.name in words else Standing.SERVING
-            for seat in seats}
-drains.picture = picture
-drains.counted = lambda known: sorted(known.words)
+    return {seat.name: MemberStatus.PERMITTED if seat.name in permits and seat.name in words
+            else MemberStatus.SERVING for seat in seats}
+drains.member_statuses = picture
+drains.serving_members = lambda known: sorted(known.heartbeats)
 """,
     ),
     # A member says that it has nothing at a runner before its last job has ended there.
--- a/tests/fleet/test_runners.py
+++ b/tests/fleet/test_runners.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from pulleyroute.fleet.drains import Part
-from pulleyroute.fleet.members import Seat, Word
-from pulleyroute.fleet.records import Known, Mark
+from pulleyroute.fleet.drains import CountOrShare
+from pulleyroute.fleet.members import Heartbeat, Registration
+from pulleyroute.fleet.records import RunnerDrain, Snapshot
 from pulleyroute.fleet.runners import Runner, RunnerBounds, refusal, unconfirmed
 from pulleyroute.interface import Entry, ListKind, WorkerList, WorkerState
 from pulleyroute.service.withheld import Withheld
@@ -17,19 +17,19 @@
 @pytest.mark.parametrize(
     ("bounds", "leaving", "marked", "why"),
     [
-        (RunnerBounds(pool=Part(count=1)), (), set(), None),
-        (RunnerBounds(pool=Part(count=1)), ("r3",), set(), "1 of the pool are out, and 1 may be"),
-        (RunnerBounds(pool=Part(share=0.5)), ("r3",), {"r2"}, "2 of the pool are out, and 2 may be"),
-        (RunnerBounds(hall=Part(count=1)), ("r2",), set(), "1 of hall h0 are out, and 1 may be"),
-        (RunnerBounds(hall=Part(count=1)), ("r3",), set(), None),
-        (RunnerBounds(kind=Part(count=1)), (), {"r1"}, "1 of kind old are out, and 1 may be"),
+        (RunnerBounds(pool=CountOrShare(count=1)), (), set(), None),
+        (RunnerBounds(pool=CountOrShare(count=1)), ("r3",), set(), "1 of the pool are out, and 1 may be"),
+        (RunnerBounds(pool=CountOrShare(share=0.5)), ("r3",), {"r2"}, "2 of the pool are out, and 2 may be"),
+        (RunnerBounds(hall=CountOrShare(count=1)), ("r2",), set(), "1 of hall h0 are out, and 1 may be"),
+        (RunnerBounds(hall=CountOrShare(count=1)), ("r3",), set(), None),
+        (RunnerBounds(kind=CountOrShare(count=1)), (), {"r1"}, "1 of kind old are out, and 1 may be"),
         (
             RunnerBounds(),
             ("r1", "r2"),
             {"r3"},
             "r0 is the last one that takes work: every class of the pool would be stranded",
         ),
-        (RunnerBounds(pool=Part(count=0)), ("r0",), set(), None),  # discovery says so already
+        (RunnerBounds(pool=CountOrShare(count=0)), ("r0",), set(), None),  # discovery says so already
     ],
 )
 def test_limits_count_what_discovery_says_and_what_is_marked(bounds, leaving, marked, why):
@@ -41,15 +41,15 @@
 
 
 def test_a_drain_is_confirmed_by_the_processes_that_there_are_now():
-    known = Known({"a": Seat("a", 2, "", "")}, {}, {"a": Word("a", 2, "serving")})
-    known.marks["p", "r"] = Mark("m1")
-    assert unconfirmed(known, "p", "r") == ["a"]
+    snapshot = Snapshot({"a": Registration("a", 2, "", "")}, {}, {"a": Heartbeat("a", 2, "serving")})
+    snapshot.runner_drains["p", "r"] = RunnerDrain("m1")
+    assert unconfirmed(snapshot, "p", "r") == ["a"]
     for ack, waits in (((2, "m1"), []), ((1, "m1"), ["a"]), ((2, "m0"), ["a"])):
-        known.acks["p", "r", "a"] = ack
-        assert unconfirmed(known, "p", "r") == waits
-    known.acks["p", "r", "a"] = 2, "m1"
-    known.words.clear()  # cut off after it had said so
-    assert unconfirmed(known, "p", "r") == ["a"]
+        snapshot.acks["p", "r", "a"] = ack
+        assert unconfirmed(snapshot, "p", "r") == waits
+    snapshot.acks["p", "r", "a"] = 2, "m1"
+    snapshot.heartbeats.clear()  # cut off after it had said so
+    assert unconfirmed(snapshot, "p", "r") == ["a"]
 
 
 def test_what_is_withheld_leaves_for_the_decisions_alone_and_comes_back_as_discovery_has_it():
