--- a/benchmarks/capacity/hollow_play.py
+++ b/benchmarks/capacity/hollow_play.py
@@ -34,8 +34,8 @@
 class Times:
     """Bounds in seconds: each stage's patience, the pause before the window at rest, and the window.
 
-    A watch that hears nothing is opened anew after 10 s (`fleet/agent.py`, SILENCE), so that a window is a
-    multiple of that.
+    A watch that hears nothing is opened anew after 10 s (`fleet/agent.py`, WATCH_TIMEOUT_US), so that a
+    window is a multiple of that.
     """
 
     patience: float = 40.0
--- a/benchmarks/capacity/members.py
+++ b/benchmarks/capacity/members.py
@@ -14,7 +14,7 @@
 from pulleyroute.fleet import drains, records, release
 from pulleyroute.fleet.drains import Action, Bounds, CountOrShare
 from pulleyroute.fleet.records import Keys, Snapshot
-from pulleyroute.fleet.store import Item, unchanged
+from pulleyroute.fleet.store import Item, compare_unchanged
 
 ZONES = 9
 BOUNDS = Bounds(fleet=CountOrShare(share=0.1), zone=CountOrShare(share=0.5), least_serving=1)
@@ -40,7 +40,7 @@
     wish = records.encode(mark="w", incarnation=1, do="restart", version="1.2.4", by="operator", why="update")
     pairs = [pair for number in range(size) for pair in member_records(number)]
     pairs.append((KEYS.of("wish", member_name(0)), wish))
-    pairs.append((KEYS.roll, records.encode(mark="r")))
+    pairs.append((KEYS.generation, records.encode(mark="r")))
     return {key: Item(key, value, 5, 5, 0) for key, value in pairs}
 
 
@@ -55,9 +55,9 @@
 def _permit(mirror: dict[bytes, Item], known: Snapshot) -> list[object]:
     """The comparisons of a permit's transaction."""
     counted = [mirror[KEYS.of("word", name)] for name in drains.serving_members(known)]
-    first = [KEYS.of("permit", member_name(0)), KEYS.of("seat", member_name(0)), KEYS.roll]
+    first = [KEYS.of("permit", member_name(0)), KEYS.of("seat", member_name(0)), KEYS.generation]
     own = [mirror.get(key, Item(key)) for key in (*first, KEYS.of("wish", member_name(0)))]
-    return [unchanged(item) for item in (*own, *counted)]
+    return [compare_unchanged(item) for item in (*own, *counted)]
 
 
 def measure(size: int) -> dict[str, float]:
@@ -68,7 +68,7 @@
         raise ValueError("the sample's member does not ask for its permit")
     compares = _permit(mirror, known)
     plan = release.Plan("r", "1.2.4", (CountOrShare(share=0.01), CountOrShare(share=0.1)))
-    begun = release.begin(plan, replace(known, member_requests={}))
+    begun = release.new_release(plan, replace(known, member_requests={}))
 
     def held() -> tuple[dict[bytes, Item], Snapshot]:
         fresh = _mirror(size)
--- a/benchmarks/capacity/scale.py
+++ b/benchmarks/capacity/scale.py
@@ -33,10 +33,11 @@
 
 # Today's design, from the code.
 TICKS = 2.0  # turns a second: `Dispatcher.tick` with a shortest give-up time of 5 s
-REREAD = 10.0  # seconds between two readings of a group in which nothing changes: `agent.SILENCE`
+REREAD = 10.0  # seconds between two readings of a group in which nothing changes: `agent.WATCH_TIMEOUT_US`
 KEEPALIVES = 0.6  # a second: a lease of 5 s, extended three times within it
 RECORDS_A_RESTART = 6  # changes of a member's records: word, permit, roll, word, word, permit
-HEALTH = 0.5  # counts of jobs that a member writes a second while a release is in hand: `agent.HEALTH_TIME`
+# Counts of jobs that a member writes a second while a release is in hand: `agent.HEALTH_INTERVAL_US`.
+HEALTH = 0.5
 NEAR_MOST = 24  # instances that a dispatcher keeps to: three times `rules.MIN_SUBSET_SIZE`
 
 # The chosen design.
--- a/benchmarks/capacity/store.py
+++ b/benchmarks/capacity/store.py
@@ -18,7 +18,7 @@
 from benchmarks.capacity.cost import processor_time
 from benchmarks.capacity.members import KEYS, member_name, member_records
 from benchmarks.capacity.slope import Cost, Slope
-from pulleyroute.fleet.store import LARGEST, Client, Item, Json, put, unchanged
+from pulleyroute.fleet.store import MAX_ANSWER_BYTES, Client, Item, Json, compare_unchanged, put
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.http import parse_address
 from pulleyroute.net.loop import Coroutine, Loop
@@ -55,9 +55,9 @@
 
 def _permit(client: Client, items: list[Item], number: int, until: int) -> Coroutine[None]:
     """A permit as `agent.py` asks for it: the word of each member as it was read."""
-    words = [unchanged(item) for item in items if item.key.startswith(KEYS.of("word", ""))]
+    words = [compare_unchanged(item) for item in items if item.key.startswith(KEYS.of("word", ""))]
     key = Item(KEYS.of("permit", member_name(number)))
-    other = yield from client.commit(key, b'{"incarnation":1}', until, guards=words)
+    other = yield from client.commit(key, b'{"incarnation":1}', until, compares=words)
     if other is not None:
         raise ValueError("the permit was not written")
 
@@ -141,7 +141,7 @@
     {
         "read": Cost("Store's client: the whole group read", "us"),
         "read_store": Cost("Store's stand-in: the whole group read", "us"),
-        "read_bytes": Cost("Store: the answer to a read of the whole group", "bytes", LARGEST),
+        "read_bytes": Cost("Store: the answer to a read of the whole group", "bytes", MAX_ANSWER_BYTES),
         "keepalive_bytes": Cost("Store: a lease extended, on the wire", "bytes"),
         "permit": Cost("Store's client: a permit's transaction", "us"),
         "permit_store": Cost("Store's stand-in: a permit's transaction", "us"),
--- a/benchmarks/fleet_rest.py
+++ b/benchmarks/fleet_rest.py
@@ -16,7 +16,7 @@
 from pulleyroute.emulator.store import Server
 from pulleyroute.emulator.virtual import VirtualLoop
 from pulleyroute.fleet import records
-from pulleyroute.fleet.agent import Agent, Place
+from pulleyroute.fleet.agent import Agent, MemberSettings
 from pulleyroute.fleet.runners import Runner
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.lifecycle import Phase
@@ -49,7 +49,7 @@
     loop = VirtualLoop()
     server = Server(loop)
     agents = [
-        Agent(loop, BufferPool(), [server.address], Place("g", f"m{i}", f"z{i % 3}"), Still(), i)
+        Agent(loop, BufferPool(), [server.address], MemberSettings("g", f"m{i}", f"z{i % 3}"), Still(), i)
         for i in range(size)
     ]
     for agent in agents:
--- a/pulleyroute/cli/fleet.py
+++ b/pulleyroute/cli/fleet.py
@@ -26,11 +26,11 @@
 Name = Annotated[str, typer.Argument(help="The name.")]
 
 
-def ask(path: Path, what: Callable[[Operator], Coroutine[T]]) -> T:
+def run_operation(path: Path, what: Callable[[Operator], Coroutine[T]]) -> T:
     """Do one thing on the store that the configuration names; ends with one plain line where it can't be."""
     from pulleyroute.config import Invalid, load
     from pulleyroute.fleet.records import OperationRefused
-    from pulleyroute.fleet.store import Client, Lost, Turned
+    from pulleyroute.fleet.store import Client, StoreRejected, StoreUnavailable
     from pulleyroute.net.buffers import BufferPool
     from pulleyroute.net.loop import Loop
 
@@ -60,10 +60,10 @@
     if told:
         return told[0]
     fault = faults[0] if faults else None
-    if isinstance(fault, Lost):
-        done = "it may have been done all the same" if fault.maybe else "nothing was done"
+    if isinstance(fault, StoreUnavailable):
+        done = "it may have been done all the same" if fault.maybe_applied else "nothing was done"
         print(f"pulleyroute: the store can't be reached ({fault}); {done}", file=sys.stderr)
-    elif isinstance(fault, Turned | OperationRefused):
+    elif isinstance(fault, StoreRejected | OperationRefused):
         print(f"pulleyroute: {fault}", file=sys.stderr)
     elif fault is not None:
         raise fault
@@ -77,7 +77,7 @@
         return "somebody"
 
 
-def table(rows: list[dict[str, Any]], names: list[str], as_json: bool) -> None:
+def print_table(rows: list[dict[str, Any]], names: list[str], as_json: bool) -> None:
     if as_json:
         print(json.dumps(rows))
         return
@@ -99,8 +99,8 @@
 @app.command()
 def members(config: Config, as_json: AsJson = False) -> None:
     """Who is in the fleet, who counts as out, and what is wanted of them."""
-    table(
-        ask(config, lambda operator: operator.members()),
+    print_table(
+        run_operation(config, lambda operator: operator.members()),
         ["name", "zone", "region", "version", "standing", "out", "permit", "wish", "why"],
         as_json,
     )
@@ -109,20 +109,20 @@
 @app.command()
 def runners(config: Config, as_json: AsJson = False) -> None:
     """Which runners are drained or wanted so, and which members may still send to them."""
-    rows = ask(config, lambda operator: operator.runners())
+    rows = run_operation(config, lambda operator: operator.runners())
     if not as_json:
         rows = [{**row, "waits": ", ".join(row["waits"])} for row in rows]
-    table(rows, ["pool", "name", "state", "waits", "by", "why"], as_json)
+    print_table(rows, ["pool", "name", "state", "waits", "by", "why"], as_json)
 
 
 @app.command()
 def drain(name: Name, config: Config, why: Why = "", pool: Pool = "") -> None:
     """Want a member on standby, or a runner drained. It goes once the limits allow it, until `undrain`."""
     if pool:
-        ask(config, lambda operator: operator.drain_runner(pool, name, why))
+        run_operation(config, lambda operator: operator.drain_runner(pool, name, why))
         print(f"{name} gets nothing new once the limits allow it: see `pulleyroute fleet runners`")
         return
-    ask(config, lambda operator: operator.drain(name, "standby", why))
+    run_operation(config, lambda operator: operator.drain(name, "standby", why))
     print(f"{name} goes on standby once it has a permit: see `pulleyroute fleet members`")
 
 
@@ -134,7 +134,7 @@
     version: Annotated[str, typer.Option(help="That is to come; the same without it.")] = "",
 ) -> None:
     """Want a member started again. It ends once the limits allow it; the platform starts it."""
-    ask(config, lambda operator: operator.drain(name, "restart", why, version))
+    run_operation(config, lambda operator: operator.drain(name, "restart", why, version))
     print(f"{name} is started again once it has a permit: see `pulleyroute fleet members`")
 
 
@@ -142,15 +142,15 @@
 def undrain(name: Name, config: Config, why: Why = "", pool: Pool = "") -> None:
     """Take back what is wanted of a member or runner: it serves, or gets work, again."""
     if pool:
-        ask(config, lambda operator: operator.undrain_runner(pool, name, why))
+        run_operation(config, lambda operator: operator.undrain_runner(pool, name, why))
         return
-    ask(config, lambda operator: operator.undrain(name, why))
+    run_operation(config, lambda operator: operator.undrain(name, why))
 
 
 @app.command()
 def forget(name: Name, config: Config, why: Why = "") -> None:
     """Say that a silent member is gone for good. Say it of no process that may still run."""
-    ask(config, lambda operator: operator.forget(name, why))
+    run_operation(config, lambda operator: operator.forget(name, why))
 
 
 @app.command()
@@ -163,6 +163,6 @@
             "what": event.what,
             "why": event.why,
         }
-        for event in ask(config, lambda each: each.history())
+        for event in run_operation(config, lambda each: each.history())
     ]
-    table(rows, ["at", "by", "what", "why"], as_json)
+    print_table(rows, ["at", "by", "what", "why"], as_json)
--- a/pulleyroute/cli/release.py
+++ b/pulleyroute/cli/release.py
@@ -10,7 +10,7 @@
 
 import typer
 
-from pulleyroute.cli.fleet import AsJson, Config, Why, ask, table
+from pulleyroute.cli.fleet import AsJson, Config, Why, print_table, run_operation
 from pulleyroute.fleet.operate import Operator
 from pulleyroute.fleet.release import Plan, State
 from pulleyroute.net.loop import Coroutine
@@ -51,10 +51,10 @@
     meant = _plan(plan)
 
     def what(operator: Operator) -> Coroutine[Any]:
-        snapshot, _ = yield from operator.look()
-        return release.begin(meant, snapshot)
+        snapshot, _ = yield from operator.read_snapshot()
+        return release.new_release(meant, snapshot)
 
-    _waves(ask(config, what))
+    _waves(run_operation(config, what))
 
 
 @app.command()
@@ -68,7 +68,7 @@
         check(plan, config)
         return
     meant = _plan(plan)
-    _waves(ask(config, lambda operator: operator.start(meant)))
+    _waves(run_operation(config, lambda operator: operator.start_release(meant)))
 
 
 @app.command()
@@ -79,7 +79,7 @@
 ) -> None:
     """The release in hand, or the last one, and who stands where."""
     while True:
-        snapshot, _ = ask(config, lambda operator: operator.look())
+        snapshot, _ = run_operation(config, lambda operator: operator.read_snapshot())
         told = snapshot.release
         if told is None:
             print("null" if as_json else "no release yet")
@@ -115,7 +115,7 @@
                 f"release {told.name} to {told.version}: {told.state}, wave {told.wave + 1} of "
                 f"{len(told.counts)}{': ' + told.why if told.why else ''}"
             )
-            table(rows, ["member", "wave", "version", "wanted", "permit"], False)
+            print_table(rows, ["member", "wave", "version", "wanted", "permit"], False)
         if not watch or told.state not in ("running", "backing"):
             return
         time.sleep(1)
@@ -124,16 +124,16 @@
 @app.command()
 def halt(config: Config, why: Why = "") -> None:
     """Nothing newly goes out for it; who is out comes back."""
-    ask(config, lambda operator: operator.move(State.HALTED, why))
+    run_operation(config, lambda operator: operator.change_release_state(State.HALTED, why))
 
 
 @app.command()
 def resume(config: Config, why: Why = "") -> None:
     """Go on with a halted release."""
-    ask(config, lambda operator: operator.move(State.RUNNING, why))
+    run_operation(config, lambda operator: operator.change_release_state(State.RUNNING, why))
 
 
 @app.command()
 def back(config: Config, why: Why = "") -> None:
     """Take it back: the versions before, under the same limits."""
-    ask(config, lambda operator: operator.move(State.BACKING, why))
+    run_operation(config, lambda operator: operator.change_release_state(State.ROLLING_BACK, why))
--- a/pulleyroute/fleet/agent.py
+++ b/pulleyroute/fleet/agent.py
@@ -23,34 +23,34 @@
     Compacted,
     Item,
     Json,
-    Lost,
-    Right,
-    Turned,
+    Lease,
+    StoreRejected,
+    StoreUnavailable,
+    compare_created,
+    compare_unchanged,
     delete,
-    guard,
+    item_at,
     put,
-    stands,
-    unchanged,
 )
 from pulleyroute.net.backoff import Backoff
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.lifecycle import NEVER, Phase
 from pulleyroute.net.loop import Coroutine, Loop, Task, Wait
 
-SILENCE = 10_000_000  # us after which a watch that tells nothing counts as broken
+WATCH_TIMEOUT_US = 10_000_000  # us after which a watch that tells nothing counts as broken
 WRITE_TIME = 3_000_000  # for one change, with its tries
 RACE_PAUSE, LONGEST_RACE = 20_000, 1_000_000  # after a change that somebody else's came before
 LOST_PAUSE, LONGEST_LOST = 100_000, 3_000_000  # between tries to reach the store
 BEATS = 3  # times that a lease is extended within its time
 HISTORY = 1000  # lines that are kept
 OLD_AT_ONCE = 4  # older ones that go with each new one
-HEALTH_TIME = 2_000_000  # between two words on its jobs, while a release is in hand
+HEALTH_INTERVAL_US = 2_000_000  # between two words on its jobs, while a release is in hand
 BUSY_LOOK = 100_000  # between two looks at what is still out at a marked runner
 FRESH = 1_000_000  # a permit is acted on within this time of a reading of the store, else read anew
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
+class MemberSettings:
     """Where a process stands in its fleet, from the settings. `lease`: seconds."""
 
     group: str
@@ -63,7 +63,7 @@
     runner_bounds: RunnerBounds = field(default_factory=RunnerBounds)
 
 
-class Served(Protocol):
+class ManagedService(Protocol):
     """The service that the agent speaks for."""
 
     @property
@@ -85,17 +85,17 @@
         loop: Loop,
         pool: BufferPool,
         store: list[tuple[str, int]],
-        place: Place,
-        served: Served,
+        settings: MemberSettings,
+        service: ManagedService,
         seed: int,
     ) -> None:
-        self._loop, self._place, self._served = loop, place, served
+        self._loop, self._settings, self._service = loop, settings, service
         self._random = Random(seed)
         self.client = Client(loop, pool, store, self._random.getrandbits(64))
-        self._keys = Keys(place.group)
+        self._keys = Keys(settings.group)
         self._token = f"{self._random.getrandbits(64):016x}"
         self._incarnation: int | None = None
-        self._right: Right | None = None
+        self._lease: Lease | None = None
         self._beat_at = 0
         self._mirror: dict[bytes, Item] = {}
         self._heard_meanwhile: dict[bytes, Item] | None = None  # by the watch, while the whole is read
@@ -107,7 +107,7 @@
         self._broken: Exception | None = None  # how the watch ended
         self._idle = self._changed = False
         self._planned = False  # on standby by a wish
-        self._seen = release.Seen()
+        self._seen = release.WaveProgress()
         self._health_at = 0  # when the next word on its jobs is due
         self._marked: set[records.RunnerKey] = set()
         self._look_at = NEVER  # when to look again at what is still out at marked runners
@@ -120,7 +120,7 @@
     def start(self) -> None:
         self._task.start()
 
-    def moved(self) -> None:
+    def on_phase_change(self) -> None:
         """The service has changed its phase."""
         self._changed = True
         if self._idle:
@@ -141,9 +141,9 @@
                     yield Wait(until=self._loop.now() + watches.failed())
                 else:
                     watches.succeeded()
-            except (Lost, Turned) as exc:
-                if isinstance(exc, Turned):
-                    self._right = None  # a store that was started anew knows the lease no more
+            except (StoreUnavailable, StoreRejected) as exc:
+                if isinstance(exc, StoreRejected):
+                    self._lease = None  # a store that was started anew knows the lease no more
                 if not self._cut:
                     self._cut = True
                     logger.bind(event="fleet.lost").warning(
@@ -195,26 +195,28 @@
         self._mirror = {item.key: item for item in items}
         if not regressed:
             # The watch may be ahead of the answer, and what it told meanwhile comes no second time.
-            self._mirror.update({key: item for key, item in heard.items() if item.mod > revision})
+            self._mirror.update({key: item for key, item in heard.items() if item.mod_revision > revision})
         self._read_at, self._fresh_at, self._snapshot = revision, asked, None
 
     def _watching(self, start: int) -> Coroutine[None]:
         try:
-            yield from self.client.watch(self._keys.prefix, self._keys.end, start, self._heard, SILENCE)
-        except (Lost, Compacted) as exc:
+            yield from self.client.watch(
+                self._keys.prefix, self._keys.end, start, self._heard, WATCH_TIMEOUT_US
+            )
+        except (StoreUnavailable, Compacted) as exc:
             self._broken = exc
-            self.moved()
+            self.on_phase_change()
 
     def _heard(self, items: list[Item], revision: int) -> None:
         for item in items:
             # The last reading has what came before it.
-            if item.mod > self._read_at:
+            if item.mod_revision > self._read_at:
                 self._mirror[item.key] = item
                 self._snapshot = None
                 if self._heard_meanwhile is not None:
                     self._heard_meanwhile[item.key] = item
         if self._snapshot is None:
-            self.moved()
+            self.on_phase_change()
 
     # What is kept
 
@@ -234,26 +236,28 @@
         return self._snapshot
 
     def _item(self, kind: str, *names: str) -> Item:
-        return stands(self._mirror, self._keys.of(kind, *names))
+        return item_at(self._mirror, self._keys.of(kind, *names))
 
     def _seated(self) -> bool:
         """Whether this process has its seat, as far as it knows."""
-        return self._incarnation is not None and self.snapshot.tokens.get(self._place.member) == self._token
+        return (
+            self._incarnation is not None and self.snapshot.tokens.get(self._settings.member) == self._token
+        )
 
     def _own(self) -> list[Json]:
         """Guards everybody: a process whose seat is a newer one's changes nothing, however late it wakes."""
-        return [unchanged(self._item("seat", self._place.member))]
+        return [compare_unchanged(self._item("seat", self._settings.member))]
 
     def _keep(self) -> Coroutine[None]:
         """The lease, and the word under it."""
         now = self._loop.now()
-        if self._right is not None and now >= self._beat_at:
-            self._right = yield from self.client.extend(self._right)
-            self._beat_at = now + self._place.lease * 1_000_000 // BEATS
-        if self._right is None or not self._right.holds(self._loop.now()):
-            self._right = yield from self.client.grant(self._place.lease)
-            self._beat_at = now + self._place.lease * 1_000_000 // BEATS
-        snapshot, me = self.snapshot, self._place.member
+        if self._lease is not None and now >= self._beat_at:
+            self._lease = yield from self.client.extend(self._lease)
+            self._beat_at = now + self._settings.lease * 1_000_000 // BEATS
+        if self._lease is None or not self._lease.is_valid(self._loop.now()):
+            self._lease = yield from self.client.grant(self._settings.lease)
+            self._beat_at = now + self._settings.lease * 1_000_000 // BEATS
+        snapshot, me = self.snapshot, self._settings.member
         if snapshot.tokens.get(me) != self._token:
             return
         # From the record, not from the answer: that of the claim may have been lost.
@@ -261,16 +265,18 @@
         heartbeat, item = snapshot.heartbeats.get(me), self._item("word", me)
         if (
             heartbeat is None
-            or (heartbeat.incarnation, heartbeat.phase) != (self._incarnation, self._served.phase.value)
-            or item.lease != self._right.lease
+            or (heartbeat.incarnation, heartbeat.phase) != (self._incarnation, self._service.phase.value)
+            or item.lease != self._lease.id
         ):
             yield from self._write(
                 item,
                 self._value(
-                    incarnation=self._incarnation, phase=self._served.phase.value, version=self._place.version
+                    incarnation=self._incarnation,
+                    phase=self._service.phase.value,
+                    version=self._settings.version,
                 ),
                 self._own(),
-                lease=self._right.lease,
+                lease=self._lease.id,
             )
 
     def _value(self, **values: object) -> bytes:
@@ -282,12 +288,14 @@
         self,
         item: Item,
         value: bytes | None,
-        guards: list[Json],
-        also: list[Json] | None = None,
+        compares: list[Json],
+        extra_operations: list[Json] | None = None,
         lease: int = 0,
     ) -> Coroutine[bool]:
         """One change, whole or not at all, and the whole read anew; False where somebody's came before."""
-        other = yield from self.client.commit(item, value, self._loop.now() + WRITE_TIME, lease, guards, also)
+        other = yield from self.client.commit(
+            item, value, self._loop.now() + WRITE_TIME, lease, compares, extra_operations
+        )
         yield from self._read()
         self._changed = True
         if other is None:
@@ -300,15 +308,15 @@
     # What is done
 
     def _act(self) -> Coroutine[None]:
-        place = self._place
+        settings = self._settings
         step = drains.step(
-            place.member,
+            settings.member,
             self._token,
             self._incarnation,
-            self._served.phase.value,
+            self._service.phase.value,
             self._planned,
             self.snapshot,
-            place.bounds,
+            settings.bounds,
         )
         if step.action in (Action.STANDBY, Action.LEAVE) and not self._may_go():
             # Guards the limits against a process that stood still: what it knew may have passed meanwhile.
@@ -325,87 +333,96 @@
 
     def _may_go(self) -> bool:
         now = self._loop.now()
-        return self._right is not None and self._right.holds(now) and now - self._fresh_at < FRESH
+        return self._lease is not None and self._lease.is_valid(now) and now - self._fresh_at < FRESH
 
     def _carry_out(self, step: Step) -> Coroutine[None]:
-        me = self._place.member
+        me = self._settings.member
         if step.action is Action.CLAIM:
             yield from self._claim()
         elif step.action is Action.ASK:
             assert self._incarnation is not None
             snapshot = self.snapshot
-            guards = [
+            compares = [
                 *self._own(),
-                unchanged(stands(self._mirror, self._keys.roll)),
-                unchanged(self._item("wish", me)),
+                compare_unchanged(item_at(self._mirror, self._keys.generation)),
+                compare_unchanged(self._item("wish", me)),
             ]
             # The count is of one moment: whoever it rests on has to serve still when the permit is written.
-            guards += [unchanged(self._item("word", name)) for name in drains.serving_members(snapshot)]
+            compares += [
+                compare_unchanged(self._item("word", name)) for name in drains.serving_members(snapshot)
+            ]
             if (
                 yield from self._write(
                     self._item("permit", me),
                     self._value(incarnation=self._incarnation),
-                    guards,
-                    self._told("out", snapshot.member_requests[me].why, self._keys.roll),
+                    compares,
+                    self._told("out", snapshot.member_requests[me].why, self._keys.generation),
                 )
             ):
                 logger.bind(event="fleet.permit").info("fleet: has a permit to be out")
         elif step.action is Action.RETURN:
             permit, request = self._item("permit", me), self._item("wish", me)
-            also = self._told("back", "", self._keys.roll)
+            extra_operations = self._told("back", "", self._keys.generation)
             if permit.value is not None and request.value is not None:
-                also.append(delete(request.key))
+                extra_operations.append(delete(request.key))
             first = permit if permit.value is not None else request
-            if (yield from self._write(first, None, [*self._own(), unchanged(request)], also)):
+            if (
+                yield from self._write(
+                    first, None, [*self._own(), compare_unchanged(request)], extra_operations
+                )
+            ):
                 logger.bind(event="fleet.returned").info("fleet: serves again, and has returned its permit")
         elif step.action is Action.STANDBY:
             self._planned = True
-            self._served.standby()
+            self._service.standby()
         elif step.action is Action.ACTIVE:
             self._planned = False
-            self._served.active()
+            self._service.active()
         elif step.action is Action.LEAVE:
-            self._served.leave(step.why)
+            self._service.leave(step.why)
 
     def _drain_runners(self) -> Coroutine[None]:
         """Give marked runners nothing new, say when nothing is there, and mark what is wanted."""
-        snapshot, me = self.snapshot, self._place.member
+        snapshot, me = self.snapshot, self._settings.member
         if set(snapshot.runner_drains) != self._marked:
             self._marked = set(snapshot.runner_drains)
-            self._served.withhold(self._marked)
+            self._service.withhold(self._marked)
         self._look_at = NEVER
         if not self._seated():
             return
         for (pool, runner), mark in sorted(snapshot.runner_drains.items()):
-            if runners.acknowledged(snapshot, pool, runner, me) or self._right is None:
+            if runners.acknowledged(snapshot, pool, runner, me) or self._lease is None:
                 continue
-            if self._served.busy(pool, runner):
+            if self._service.busy(pool, runner):
                 # Guards the drain: said before its last job has ended, somebody would stop a busy machine.
                 self._look_at = self._loop.now() + BUSY_LOOK
                 continue
             yield from self._write(
                 self._item("ack", pool, runner, me),
                 self._value(incarnation=self._incarnation, of=mark.token),
-                [*self._own(), unchanged(self._item("mark", pool, runner))],
-                lease=self._right.lease,
+                [*self._own(), compare_unchanged(self._item("mark", pool, runner))],
+                lease=self._lease.id,
             )
             return
-        if runners.hand(snapshot) != me:
+        if runners.coordinator(snapshot) != me:
             return
         for pool, runner in sorted(set(snapshot.runner_requests) - set(snapshot.runner_drains)):
-            there = self._served.runners(pool)
+            there = self._service.runners(pool)
             marked = {name for each, name in snapshot.runner_drains if each == pool}
-            if there is None or runners.refusal(runner, there, marked, self._place.runner_bounds) is not None:
+            if (
+                there is None
+                or runners.refusal(runner, there, marked, self._settings.runner_bounds) is not None
+            ):
                 continue
             want = snapshot.runner_requests[pool, runner]
-            roll = self._keys.roll_runners
+            roll = self._keys.runner_generation
             yield from self._write(
                 self._item("mark", pool, runner),
                 self._value(by=want.by, why=want.why),
                 [
                     *self._own(),
-                    unchanged(stands(self._mirror, roll)),
-                    unchanged(self._item("want", pool, runner)),
+                    compare_unchanged(item_at(self._mirror, roll)),
+                    compare_unchanged(self._item("want", pool, runner)),
                 ],
                 self._told(f"drain {pool}/{runner}", want.why, roll),
             )
@@ -413,73 +430,76 @@
 
     def _release(self) -> Coroutine[None]:
         """While a release is in hand: tell how one's jobs went, and lead it where nobody else does."""
-        snapshot, me, now = self.snapshot, self._place.member, self._loop.now()
+        snapshot, me, now = self.snapshot, self._settings.member, self._loop.now()
         if (
             snapshot.release is None
-            or snapshot.release.state not in release.ACTIVE
-            or self._right is None
+            or snapshot.release.state not in release.ACTIVE_STATES
+            or self._lease is None
             or not self._seated()
         ):
             return
         if now >= self._health_at:
-            self._health_at = now + HEALTH_TIME
-            good, ended = self._served.jobs()
+            self._health_at = now + HEALTH_INTERVAL_US
+            good, ended = self._service.jobs()
             yield from self._write(
                 self._item("health", me),
                 self._value(incarnation=self._incarnation, good=good, ended=ended),
                 self._own(),
-                lease=self._right.lease,
+                lease=self._lease.id,
             )
             return
         self._look_at = min(self._look_at, self._health_at)
-        lead = stands(self._mirror, self._keys.leader)
+        lead = item_at(self._mirror, self._keys.leader)
         if lead.value is None:
-            yield from self._write(lead, self._value(token=self._token), self._own(), lease=self._right.lease)
+            yield from self._write(lead, self._value(token=self._token), self._own(), lease=self._lease.id)
             return
-        if snapshot.leader_token != self._token or lead.lease != self._right.lease:
+        if snapshot.leader_token != self._token or lead.lease != self._lease.id:
             return
         move = release.step(snapshot, self._seen, now)
-        yield from self._lead(move, [guard(lead.key, lead.create), *self._own()])
+        yield from self._lead(move, [compare_created(lead.key, lead.create_revision), *self._own()])
 
-    def _lead(self, move: release.Move, guards: list[Json]) -> Coroutine[None]:
+    def _lead(self, move: release.ReleaseChange, compares: list[Json]) -> Coroutine[None]:
         """Write what comes next. The guards hold it to this leader: one that was paused changes nothing."""
         keys = self._keys
-        record = stands(self._mirror, keys.release)
+        record = item_at(self._mirror, keys.release)
         member_requests = {request.name: self._value(**request.values()) for request in move.member_requests}
         # As they were read: an operator's wish that came meanwhile is not written over.
-        guards = [
-            *guards,
-            *(unchanged(self._item("wish", name)) for name in (*member_requests, *move.dropped)),
+        compares = [
+            *compares,
+            *(compare_unchanged(self._item("wish", name)) for name in (*member_requests, *move.dropped)),
         ]
-        also = [put(keys.of("wish", name), value) for name, value in member_requests.items()]
-        also += [delete(keys.of("wish", name)) for name in move.dropped]
+        extra_operations = [put(keys.of("wish", name), value) for name, value in member_requests.items()]
+        extra_operations += [delete(keys.of("wish", name)) for name in move.dropped]
         if move.release is not None:
             what = f"release {move.release.name}: {move.release.state}, wave {move.release.wave + 1}"
             logger.bind(event="fleet.release", state=move.release.state).info("fleet: {}", what)
             yield from self._write(
                 record,
                 self._value(**records.release_values(move.release)),
-                guards,
-                [*also, *self._told(what, move.release.why, keys.roll)],
+                compares,
+                [*extra_operations, *self._told(what, move.release.why, keys.generation)],
             )
-        elif also:
+        elif extra_operations:
             first = next(iter((*member_requests, *move.dropped)))
             yield from self._write(
-                self._item("wish", first), member_requests.get(first), [*guards, unchanged(record)], also[1:]
+                self._item("wish", first),
+                member_requests.get(first),
+                [*compares, compare_unchanged(record)],
+                extra_operations[1:],
             )
 
     def _claim(self) -> Coroutine[None]:
-        place = self._place
-        registration = self.snapshot.registrations.get(place.member)
+        settings = self._settings
+        registration = self.snapshot.registrations.get(settings.member)
         number = max(registration.incarnation + 1 if registration is not None else 1, self._incarnation or 0)
-        value = self._value(incarnation=number, token=self._token, zone=place.zone, region=place.region)
+        value = self._value(incarnation=number, token=self._token, zone=settings.zone, region=settings.region)
         if (
             yield from self._write(
-                self._item("seat", place.member), value, [], [put(self._keys.roll, self._value())]
+                self._item("seat", settings.member), value, [], [put(self._keys.generation, self._value())]
             )
         ):
             logger.bind(event="fleet.joined", incarnation=number).info(
-                "fleet: {} has the seat {} as incarnation {}", place.group, place.member, number
+                "fleet: {} has the seat {} as incarnation {}", settings.group, settings.member, number
             )
 
     def _told(self, what: str, why: str, roll: bytes) -> list[Json]:
@@ -496,7 +516,7 @@
                 *records.line(
                     keys,
                     time.time_ns() // 1_000_000,
-                    self._place.member,
+                    self._settings.member,
                     what,
                     why,
                     self._random.getrandbits(32),
--- a/pulleyroute/fleet/operate.py
+++ b/pulleyroute/fleet/operate.py
@@ -26,7 +26,7 @@
     Snapshot,
 )
 from pulleyroute.fleet.runners import unconfirmed
-from pulleyroute.fleet.store import Client, Item, Json, delete, put, stands, unchanged
+from pulleyroute.fleet.store import Client, Item, Json, compare_unchanged, delete, item_at, put
 from pulleyroute.net.loop import Coroutine, Loop
 
 WRITE_TIME = 5_000_000  # us for one change, with its tries
@@ -44,7 +44,7 @@
         self._keys = Keys(group)
         self._random = Random(seed)
 
-    def look(self) -> Coroutine[tuple[Snapshot, dict[bytes, Item]]]:
+    def read_snapshot(self) -> Coroutine[tuple[Snapshot, dict[bytes, Item]]]:
         """What stands in the store now."""
         _, items = yield from self._client.range(self._keys.prefix, self._keys.end)
         return (
@@ -54,7 +54,7 @@
 
     def members(self) -> Coroutine[list[dict[str, Any]]]:
         """A row for each member, in the order of their names."""
-        snapshot, _ = yield from self.look()
+        snapshot, _ = yield from self.read_snapshot()
         known_as = statuses(snapshot)
         rows = []
         for name, registration in sorted(snapshot.registrations.items()):
@@ -78,7 +78,7 @@
 
     def history(self) -> Coroutine[list[Event]]:
         """What was done, the oldest first."""
-        snapshot, _ = yield from self.look()
+        snapshot, _ = yield from self.read_snapshot()
         return snapshot.history
 
     def drain(self, name: str, do: Do, why: str, version: str = "") -> Coroutine[None]:
@@ -91,7 +91,12 @@
                 raise OperationRefused(f"{name} is not in this fleet: {there}")
             request = MemberRequest(name, do, registration.incarnation, version, self._by, why)
             value = self._value(**request.values())
-            return self._item(items, "wish", name), value, [unchanged(self._item(items, "seat", name))], []
+            return (
+                self._item(items, "wish", name),
+                value,
+                [compare_unchanged(self._item(items, "seat", name))],
+                [],
+            )
 
         yield from self._change(f"{do} {name}", why, change)
 
@@ -123,7 +128,7 @@
                 [
                     delete(self._keys.of("permit", name)),
                     delete(self._keys.of("wish", name)),
-                    put(self._keys.roll, self._value()),
+                    put(self._keys.generation, self._value()),
                 ],
             )
 
@@ -133,7 +138,7 @@
 
     def runners(self) -> Coroutine[list[dict[str, Any]]]:
         """A row for each runner that is drained or wanted so."""
-        snapshot, _ = yield from self.look()
+        snapshot, _ = yield from self.read_snapshot()
         rows = []
         for pool, runner in sorted(set(snapshot.runner_requests) | set(snapshot.runner_drains)):
             marked = (pool, runner) in snapshot.runner_drains
@@ -169,31 +174,31 @@
                 raise OperationRefused(f"nobody wants {runner} of pool {pool} drained")
             # One operation for all members: the store turns down a transaction of more than 128 of them.
             acks = delete(*self._keys.below("ack", pool, runner))
-            also = [put(self._keys.roll_runners, self._value()), acks]
+            extra_operations = [put(self._keys.runner_generation, self._value()), acks]
             # Guards against a mark that is made meanwhile: it would be left without anybody who wants it.
-            return want, None, [unchanged(mark)], [*also, delete(mark.key)]
+            return want, None, [compare_unchanged(mark)], [*extra_operations, delete(mark.key)]
 
         yield from self._change(f"undrain {pool}/{runner}", why, change)
 
     # Releases
 
-    def start(self, plan: release.Plan) -> Coroutine[Release]:
+    def start_release(self, plan: release.Plan) -> Coroutine[Release]:
         """Start a release; raises `Refused` where it can't be carried out."""
         told: list[Release] = []
 
         def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
-            told[:] = [release.begin(plan, snapshot)]
-            return stands(items, self._keys.release), self._value(**records.release_values(told[0])), [], []
+            told[:] = [release.new_release(plan, snapshot)]
+            return item_at(items, self._keys.release), self._value(**records.release_values(told[0])), [], []
 
         yield from self._change(f"release {plan.name}: start", plan.version, change)
         return told[0]
 
-    def move(self, to: release.State, why: str) -> Coroutine[None]:
+    def change_release_state(self, to: release.State, why: str) -> Coroutine[None]:
         """Halt, resume or take back the release in hand; the last word wins."""
         come_from = {
             release.State.HALTED: ("running", "backing"),
             release.State.RUNNING: ("halted",),
-            release.State.BACKING: ("running", "halted", "done"),
+            release.State.ROLLING_BACK: ("running", "halted", "done"),
         }[to]
 
         def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
@@ -203,19 +208,19 @@
                     "no release is in hand" if now is None else f"release {now.name} is {now.state}"
                 )
             # Wishes that have no permit yet are not carried out any more.
-            dropped = release.idle_wishes(now, snapshot)
+            dropped = release.requests_without_permit(now, snapshot)
             value = self._value(**records.release_values(replace(now, state=to.value, why=why)))
             return (
-                stands(items, self._keys.release),
+                item_at(items, self._keys.release),
                 value,
-                [unchanged(self._item(items, "wish", name)) for name in dropped],
+                [compare_unchanged(self._item(items, "wish", name)) for name in dropped],
                 [delete(self._keys.of("wish", name)) for name in dropped],
             )
 
         yield from self._change(f"release: {to.value}", why, change)
 
     def _item(self, items: dict[bytes, Item], kind: str, *names: str) -> Item:
-        return stands(items, self._keys.of(kind, *names))
+        return item_at(items, self._keys.of(kind, *names))
 
     def _value(self, **values: object) -> bytes:
         return records.encode(mark=f"{self._random.getrandbits(64):016x}", **values)
@@ -224,12 +229,16 @@
         self, what: str, why: str, change: Callable[[Snapshot, dict[bytes, Item]], Change]
     ) -> Coroutine[None]:
         for _ in range(TRIES):
-            snapshot, items = yield from self.look()
-            item, value, guards, also = change(snapshot, items)
+            snapshot, items = yield from self.read_snapshot()
+            item, value, compares, extra_operations = change(snapshot, items)
             at = time.time_ns() // 1_000_000
             line = records.line(self._keys, at, self._by, what, why, self._random.getrandbits(32))
             other = yield from self._client.commit(
-                item, value, self._loop.now() + WRITE_TIME, guards=guards, also=[*also, put(*line)]
+                item,
+                value,
+                self._loop.now() + WRITE_TIME,
+                compares=compares,
+                extra_operations=[*extra_operations, put(*line)],
             )
             if other is None:
                 return
--- a/pulleyroute/fleet/records.py
+++ b/pulleyroute/fleet/records.py
@@ -133,8 +133,8 @@
     def __init__(self, group: str) -> None:
         self.prefix = f"/pulleyroute/{group}/".encode()
         self.end = self.prefix[:-1] + b"0"  # the byte after "/"
-        self.roll = self.prefix + b"roll"
-        self.roll_runners = self.prefix + b"roll-runners"
+        self.generation = self.prefix + b"roll"
+        self.runner_generation = self.prefix + b"roll-runners"
         self.leader, self.release = self.prefix + b"lead", self.prefix + b"release"
 
     def of(self, kind: str, *names: str) -> bytes:
--- a/pulleyroute/fleet/release.py
+++ b/pulleyroute/fleet/release.py
@@ -26,18 +26,18 @@
 COUNT_TIME = 10_000_000  # us that a release waits at its start for everybody's counts
 
 
-Served = tuple[int, int]  # jobs served, and ended
+JobCounts = tuple[int, int]  # jobs served, and ended
 
 
 class State(Enum):
     RUNNING = "running"
     HALTED = "halted"
-    BACKING = "backing"
-    BACK = "back"
+    ROLLING_BACK = "backing"
+    ROLLED_BACK = "back"
     DONE = "done"
 
 
-ACTIVE = (State.RUNNING.value, State.BACKING.value)
+ACTIVE_STATES = (State.RUNNING.value, State.ROLLING_BACK.value)
 
 
 @dataclass(slots=True, frozen=True)
@@ -59,12 +59,12 @@
     on_failure: str = "halt"  # or "back"
 
 
-def begin(plan: Plan, snapshot: Snapshot) -> Release:
+def new_release(plan: Plan, snapshot: Snapshot) -> Release:
     """The record of a release that starts now; raises `Refused`.
 
     Members come in the order of their names, dealt out over the zones so that each wave meets all of them.
     """
-    if snapshot.release is not None and snapshot.release.state in (*ACTIVE, State.HALTED.value):
+    if snapshot.release is not None and snapshot.release.state in (*ACTIVE_STATES, State.HALTED.value):
         raise OperationRefused(
             f"release {snapshot.release.name} is {snapshot.release.state}: take it back, or resume it"
         )
@@ -117,13 +117,13 @@
     )
 
 
-def _sum(health: Mapping[str, Health], names: list[str]) -> Served:
+def _sum(health: Mapping[str, Health], names: list[str]) -> JobCounts:
     told = [health[name] for name in names if name in health]
     return sum(each.good for each in told), sum(each.ended for each in told)
 
 
 @dataclass(slots=True)
-class Seen:
+class WaveProgress:
     """What a leader has seen itself of the wave in hand; lost with it. Times of its own clock."""
 
     wave: tuple[str, int, str] = ("", -1, "")  # release, wave and state that the rest is of
@@ -133,7 +133,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Move:
+class ReleaseChange:
     """What to write: the record's new state, or wishes, or both; neither where there is only to wait."""
 
     release: Release | None = None
@@ -142,7 +142,7 @@
     wait: str = ""  # what it waits for
 
 
-def there(name: str, version: str, snapshot: Snapshot) -> bool:
+def is_updated(name: str, version: str, snapshot: Snapshot) -> bool:
     """Whether a member serves as that version, with nothing left to do."""
     how = (
         member_statuses([snapshot.registrations[name]], snapshot.heartbeats, snapshot.permits)[name]
@@ -156,31 +156,31 @@
     )
 
 
-def step(snapshot: Snapshot, seen: Seen, now: int) -> Move:
+def step(snapshot: Snapshot, seen: WaveProgress, now: int) -> ReleaseChange:
     """What the leader does next; `seen` is brought up to date."""
     release = snapshot.release
-    if release is None or release.state not in ACTIVE:
-        return Move()
+    if release is None or release.state not in ACTIVE_STATES:
+        return ReleaseChange()
     key = (release.name, release.wave, release.state)
     if seen.wave != key:
         seen.wave, seen.since, seen.whole = key, now, None
         seen.base = {}
     for name, health in snapshot.health.items():
         seen.base.setdefault(name, health)  # as the wave began, or as it first told of itself
-    if release.state == State.BACKING.value:
+    if release.state == State.ROLLING_BACK.value:
         return _backing(release, snapshot, seen, now)
     if release.before == UNCOUNTED:
         # Counts are told while a release is in hand alone: what was served before is of all processes' lives.
         if not set(snapshot.heartbeats) <= set(snapshot.health) and now - seen.since < COUNT_TIME:
-            return Move(wait="waits for the counts of jobs")
+            return ReleaseChange(wait="waits for the counts of jobs")
         good, ended = _sum(snapshot.health, list(snapshot.health))
-        return Move(replace(release, before=good / ended if ended >= ENOUGH else TOO_FEW))
+        return ReleaseChange(replace(release, before=good / ended if ended >= ENOUGH else TOO_FEW))
     target = release.members[: release.counts[release.wave]]
     parts = _parts(release, snapshot, seen)
     bad = _blamed(release, *parts)
     if bad is not None:
         return _fail(release, snapshot, bad)
-    waiting = [name for name in target if not there(name, release.version, snapshot)]
+    waiting = [name for name in target if not is_updated(name, release.version, snapshot)]
     if waiting:
         seen.whole = None
         if now - seen.since > release.patience:
@@ -194,18 +194,18 @@
     if seen.whole is None:
         seen.whole = now
     if now - seen.whole < release.soak:
-        return Move(wait="soaking")
+        return ReleaseChange(wait="soaking")
     if _slow(release, *parts):
         # A slowdown that all share is not the release's; but nothing is started on top of it.
-        return Move(wait="service is low everywhere")
+        return ReleaseChange(wait="service is low everywhere")
     if release.wave + 1 < len(release.counts):
-        return Move(replace(release, wave=release.wave + 1))
-    return Move(replace(release, state=State.DONE.value))
+        return ReleaseChange(replace(release, wave=release.wave + 1))
+    return ReleaseChange(replace(release, state=State.DONE.value))
 
 
-def _wish(release: Release, snapshot: Snapshot, meant: list[tuple[str, str]]) -> Move:
+def _wish(release: Release, snapshot: Snapshot, meant: list[tuple[str, str]]) -> ReleaseChange:
     """Want the next ones started again, so many at once."""
-    by = author(release)
+    by = request_author(release)
     out = [name for name, _ in meant if name in snapshot.member_requests]
     room = release.at_once - len(out)
     new = [
@@ -215,41 +215,44 @@
         and name not in snapshot.member_requests
         and name not in snapshot.permits
     ][: max(0, room)]
-    return Move(
+    return ReleaseChange(
         member_requests=tuple(new), wait="" if new else f"waits for {', '.join(name for name, _ in meant)}"
     )
 
 
-def author(release: Release) -> str:
+def request_author(release: Release) -> str:
     """By whom its wishes are."""
     return f"release {release.name}"
 
 
-def idle_wishes(release: Release, snapshot: Snapshot) -> tuple[str, ...]:
+def requests_without_permit(release: Release, snapshot: Snapshot) -> tuple[str, ...]:
     """Members with a wish of this release that have no permit yet: it can be taken back."""
     return tuple(
         name
         for name, request in snapshot.member_requests.items()
-        if request.by == author(release) and name not in snapshot.permits
+        if request.by == request_author(release) and name not in snapshot.permits
     )
 
 
-def _fail(release: Release, snapshot: Snapshot, why: str) -> Move:
-    state = State.BACKING if release.on_failure == "back" else State.HALTED
-    return Move(replace(release, state=state.value, why=why), dropped=idle_wishes(release, snapshot))
+def _fail(release: Release, snapshot: Snapshot, why: str) -> ReleaseChange:
+    state = State.ROLLING_BACK if release.on_failure == "back" else State.HALTED
+    return ReleaseChange(
+        replace(release, state=state.value, why=why), dropped=requests_without_permit(release, snapshot)
+    )
 
 
-def _backing(release: Release, snapshot: Snapshot, seen: Seen, now: int) -> Move:
+def _backing(release: Release, snapshot: Snapshot, seen: WaveProgress, now: int) -> ReleaseChange:
     was = dict(zip(release.members, release.previous, strict=True))
-    waiting = [name for name in reversed(release.members) if not there(name, was[name], snapshot)]
+    waiting = [name for name in reversed(release.members) if not is_updated(name, was[name], snapshot)]
     if not waiting:
-        return Move(replace(release, state=State.BACK.value))
+        return ReleaseChange(replace(release, state=State.ROLLED_BACK.value))
     if now - seen.since > release.patience:
         versions = {name: heartbeat.version for name, heartbeat in snapshot.heartbeats.items()}
         stand = ", ".join(f"{name} as {versions.get(name, 'nobody knows what')}" for name in waiting)
         why = f"the way back is over its patience: {stand}"
-        return Move(
-            replace(release, state=State.HALTED.value, why=why), dropped=idle_wishes(release, snapshot)
+        return ReleaseChange(
+            replace(release, state=State.HALTED.value, why=why),
+            dropped=requests_without_permit(release, snapshot),
         )
     wrong = [
         name
@@ -259,11 +262,11 @@
         and snapshot.member_requests[name].version != was[name]
     ]
     if wrong:
-        return Move(dropped=tuple(wrong))
+        return ReleaseChange(dropped=tuple(wrong))
     return _wish(release, snapshot, [(name, was[name]) for name in waiting])
 
 
-def _parts(release: Release, snapshot: Snapshot, seen: Seen) -> tuple[Served, Served]:
+def _parts(release: Release, snapshot: Snapshot, seen: WaveProgress) -> tuple[JobCounts, JobCounts]:
     """Jobs served and ended: by those that have the version, and by the others since the wave began."""
     target = set(release.members[: release.counts[release.wave]])
     new = [
@@ -290,7 +293,7 @@
     return health is not None and heartbeat is not None and health.incarnation == heartbeat.incarnation
 
 
-def _blamed(release: Release, new: Served, others: Served) -> str | None:
+def _blamed(release: Release, new: JobCounts, others: JobCounts) -> str | None:
     """Why the new version is to blame: its part serves less than before, and less than the others do now."""
     (good, ended), (other_good, other_ended) = new, others
     if ended < ENOUGH:
@@ -305,6 +308,6 @@
     return f"{release.version} serves {share:.2f} of its jobs, where {min(bounds):.2f} were served without it"
 
 
-def _slow(release: Release, new: Served, others: Served) -> bool:
+def _slow(release: Release, new: JobCounts, others: JobCounts) -> bool:
     good, ended = new[0] + others[0], new[1] + others[1]
     return release.before >= 0 and ended >= ENOUGH and good / ended < release.before - TOLERANCE
--- a/pulleyroute/fleet/runners.py
+++ b/pulleyroute/fleet/runners.py
@@ -57,7 +57,7 @@
     return None
 
 
-def hand(snapshot: Snapshot) -> str | None:
+def coordinator(snapshot: Snapshot) -> str | None:
     """Whose turn it is to mark what is wanted: the first of those that have spoken within their lease.
 
     It spares the others the race; a mark's own guards keep it safe, whoever writes it.
--- a/pulleyroute/fleet/store.py
+++ b/pulleyroute/fleet/store.py
@@ -28,7 +28,7 @@
 from pulleyroute.net.loop import Coroutine, Loop, Wait
 
 CALL_TIME = 1_000_000  # us
-LARGEST = 4 * 1024 * 1024  # bytes of an answer or a watch's line
+MAX_ANSWER_BYTES = 4 * 1024 * 1024  # bytes of an answer or a watch's line
 PAUSE, LONGEST_PAUSE = 50_000, 2_000_000  # us between tries
 PAGE = 1000  # keys in one answer of a range
 OUT_OF_RANGE, UNAVAILABLE = 11, 14
@@ -38,15 +38,15 @@
 T = TypeVar("T")
 
 
-class Lost(Exception):
+class StoreUnavailable(Exception):
     """No answer. `maybe`: the call may have taken effect, or may yet."""
 
-    def __init__(self, why: str, maybe: bool) -> None:
+    def __init__(self, why: str, maybe_applied: bool) -> None:
         super().__init__(why)
-        self.maybe = maybe
+        self.maybe_applied = maybe_applied
 
 
-class Turned(Exception):
+class StoreRejected(Exception):
     """The store turned the call down; nothing was changed."""
 
     def __init__(self, code: int, text: str) -> None:
@@ -68,8 +68,8 @@
 
     key: bytes
     value: bytes | None = None
-    mod: int = 0
-    create: int = 0
+    mod_revision: int = 0
+    create_revision: int = 0
     lease: int = 0
 
 
@@ -83,22 +83,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Right:
+class Lease:
     """A lease as its holder may use it: until a time of its own clock, counted from before it asked."""
 
-    lease: int
-    until: int
+    id: int
+    expires_at: int
 
-    def holds(self, now: int) -> bool:
+    def is_valid(self, now: int) -> bool:
         """Whether it may be used. To be asked again right before each use."""
-        return now < self.until
+        return now < self.expires_at
 
 
-def right(lease: int, ttl: int, asked: int) -> Right:
+def lease_from_grant(lease: int, ttl: int, asked: int) -> Lease:
     """The right of a lease of so many seconds, asked for at that time of one's own clock."""
     # Guards against the answer's way: the store's time runs from when it got the call at the earliest, and
     # that was after it was asked for. Counted from a slow answer, the right would outlive the lease.
-    return Right(lease, asked + int(ttl * 1_000_000 * (1 - DRIFT)))
+    return Lease(lease, asked + int(ttl * 1_000_000 * (1 - DRIFT)))
 
 
 class Client:
@@ -136,7 +136,7 @@
             if stream is not None:
                 stream.close()
             # Before its last byte was written no call is carried out.
-            raise Lost(str(exc) or "no connection in time", maybe=False) from None
+            raise StoreUnavailable(str(exc) or "no connection in time", maybe_applied=False) from None
         return stream
 
     def call(self, path: str, body: Json) -> Coroutine[Json]:
@@ -144,13 +144,13 @@
         until = self._loop.now() + CALL_TIME
         stream = yield from self._stream(path, body, until)
         try:
-            answer = yield from stream.response(until, LARGEST)
+            answer = yield from stream.response(until, MAX_ANSWER_BYTES)
             value = json.loads(answer.body)
             if not isinstance(value, dict):
                 raise ValueError("not an object")
         except (ConnectionFailed, DeadlineExceeded, Malformed, ValueError, RecursionError) as exc:
             self._at += 1
-            raise Lost(str(exc) or "no answer in time", maybe=True) from None
+            raise StoreUnavailable(str(exc) or "no answer in time", maybe_applied=True) from None
         finally:
             stream.close()
         if answer.status == 200:
@@ -159,8 +159,8 @@
         if code == UNAVAILABLE or answer.status >= 500 or not isinstance(code, int):
             # Guards against a leader lost in mid-call: the original answers so after a commit, too.
             self._at += 1
-            raise Lost(f"status {answer.status}: {value.get('message')}", maybe=True)
-        raise Turned(code, str(value.get("message")))
+            raise StoreUnavailable(f"status {answer.status}: {value.get('message')}", maybe_applied=True)
+        raise StoreRejected(code, str(value.get("message")))
 
     # Reading
 
@@ -184,10 +184,10 @@
         }
         try:
             told = yield from self.call("/v3/kv/range", body)
-        except Turned as exc:
+        except StoreRejected as exc:
             if revision and exc.code == OUT_OF_RANGE:
                 # A reading that a compaction has overtaken would else count as a call that is not in form.
-                raise Lost(str(exc), maybe=False) from None
+                raise StoreUnavailable(str(exc), maybe_applied=False) from None
             raise
         return _shaped(
             lambda: Page(
@@ -217,7 +217,7 @@
                 if not isinstance(event, h11.Data):
                     raise ConnectionFailed("the watch ended")
                 *lines, rest = (rest + bytes(event.data)).split(b"\n")
-                if len(rest) > LARGEST:
+                if len(rest) > MAX_ANSWER_BYTES:
                     raise ConnectionFailed("a line is too long")
                 for line in lines:
                     self._heard(json.loads(line)["result"], heard)
@@ -231,7 +231,7 @@
             RecursionError,
         ) as exc:
             self._at += 1
-            raise Lost(str(exc) or "silence", maybe=False) from None
+            raise StoreUnavailable(str(exc) or "silence", maybe_applied=False) from None
         finally:
             stream.close()
 
@@ -249,8 +249,8 @@
         value: bytes | None,
         until: int,
         lease: int = 0,
-        guards: list[Json] | None = None,
-        also: list[Json] | None = None,
+        compares: list[Json] | None = None,
+        extra_operations: list[Json] | None = None,
     ) -> Coroutine[Item | None]:
         """Put a value, or delete for None, if the key still stands as `item` and all guards hold.
 
@@ -263,21 +263,24 @@
         one takes effect; and a lost answer shows in the next try's failure branch, which reads the key.
         """
         body = {
-            "compare": [unchanged(item), *(guards or [])],
-            "success": [delete(item.key) if value is None else put(item.key, value, lease), *(also or [])],
+            "compare": [compare_unchanged(item), *(compares or [])],
+            "success": [
+                delete(item.key) if value is None else put(item.key, value, lease),
+                *(extra_operations or []),
+            ],
             "failure": [{"request_range": {"key": _text(item.key)}}],
         }
         pause = Backoff(PAUSE, LONGEST_PAUSE, self._random)
-        maybe = False
+        maybe_applied = False
         while True:
             try:
                 told = yield from self.call("/v3/kv/txn", body)
                 break
-            except Lost as exc:
-                maybe = maybe or exc.maybe
+            except StoreUnavailable as exc:
+                maybe_applied = maybe_applied or exc.maybe_applied
                 rest = self._loop.now() + pause.failed()
                 if rest >= until:
-                    raise Lost(str(exc), maybe) from None
+                    raise StoreUnavailable(str(exc), maybe_applied) from None
                 yield Wait(until=rest)
         if told.get("succeeded"):
             return None
@@ -287,38 +290,38 @@
 
     # Leases
 
-    def grant(self, ttl: int) -> Coroutine[Right]:
+    def grant(self, ttl: int) -> Coroutine[Lease]:
         """A lease of so many seconds."""
         asked = self._loop.now()
         told = yield from self.call("/v3/lease/grant", {"TTL": str(ttl)})
-        return _shaped(lambda: right(int(told["ID"]), int(told["TTL"]), asked))
+        return _shaped(lambda: lease_from_grant(int(told["ID"]), int(told["TTL"]), asked))
 
-    def extend(self, held: Right) -> Coroutine[Right | None]:
+    def extend(self, held: Lease) -> Coroutine[Lease | None]:
         """The same right for its whole time anew; None where the store knows it no more."""
         asked = self._loop.now()
-        told = yield from self.call("/v3/lease/keepalive", {"ID": str(held.lease)})
+        told = yield from self.call("/v3/lease/keepalive", {"ID": str(held.id)})
         ttl = _shaped(lambda: int(told["result"].get("TTL", 0)))
-        return right(held.lease, ttl, asked) if ttl > 0 else None
+        return lease_from_grant(held.id, ttl, asked) if ttl > 0 else None
 
-    def revoke(self, held: Right) -> Coroutine[None]:
+    def revoke(self, held: Lease) -> Coroutine[None]:
         """Give a right back, with all keys under it."""
-        yield from self.call("/v3/lease/revoke", {"ID": str(held.lease)})
+        yield from self.call("/v3/lease/revoke", {"ID": str(held.id)})
 
 
-def guard(key: bytes, create: int) -> Json:
+def compare_created(key: bytes, create_revision: int) -> Json:
     """That a key still is the one created at this revision: as with one's own election key."""
-    return {"key": _text(key), "target": "CREATE", "create_revision": str(create)}
+    return {"key": _text(key), "target": "CREATE", "create_revision": str(create_revision)}
 
 
-def stands(items: Mapping[bytes, Item], key: bytes) -> Item:
+def item_at(items: Mapping[bytes, Item], key: bytes) -> Item:
     """A key as it stands among what was read; one that is not there is one without a value."""
     return items.get(key, Item(key))
 
 
-def unchanged(item: Item) -> Json:
+def compare_unchanged(item: Item) -> Json:
     """That a key stands as it was read, or is still not there."""
-    mod = item.mod if item.value is not None else 0
-    return {"key": _text(item.key), "target": "MOD", "mod_revision": str(mod)}
+    mod_revision = item.mod_revision if item.value is not None else 0
+    return {"key": _text(item.key), "target": "MOD", "mod_revision": str(mod_revision)}
 
 
 def put(key: bytes, value: bytes, lease: int = 0) -> Json:
@@ -353,4 +356,4 @@
     try:
         return read()
     except (KeyError, IndexError, TypeError, ValueError, AttributeError) as exc:
-        raise Lost(f"an answer is not in form: {exc!r}", maybe=True) from None
+        raise StoreUnavailable(f"an answer is not in form: {exc!r}", maybe_applied=True) from None
--- a/pulleyroute/lab/fleet/rig.py
+++ b/pulleyroute/lab/fleet/rig.py
@@ -27,7 +27,7 @@
 from pulleyroute.fleet.drains import CountOrShare
 from pulleyroute.fleet.operate import Operator
 from pulleyroute.fleet.records import OperationRefused
-from pulleyroute.fleet.store import Client, Lost, Turned
+from pulleyroute.fleet.store import Client, StoreRejected, StoreUnavailable
 from pulleyroute.lab.fleet.checker import Asked, Limits, Look, Saw, judge
 from pulleyroute.lab.fleet.schedule import (
     AWAIT_OUT,
@@ -455,8 +455,8 @@
             member.process.send_signal(signal.SIGTERM)
 
     def _hurting_leader(self, deed: Deed) -> Coroutine[None]:
-        with contextlib.suppress(Lost, Turned):
-            known, _ = yield from self.operator.look()
+        with contextlib.suppress(StoreUnavailable, StoreRejected):
+            known, _ = yield from self.operator.read_snapshot()
             for name, token in known.tokens.items():
                 if token == known.leader_token:
                     self._do(replace(deed, what=deed.what[:4], who=int(name[1:])))
@@ -532,11 +532,11 @@
             try:
                 yield from call()
                 return
-            except Lost as exc:
+            except StoreUnavailable as exc:
                 self.note(f"operator: {deed.what} {name}: {exc}")
                 if self.loop.now() >= end:
                     return
-            except (Turned, OperationRefused) as exc:
+            except (StoreRejected, OperationRefused) as exc:
                 self.note(f"operator: {deed.what} {name}: {exc}")
                 return
             yield Wait(until=self.loop.now() + LOOK)
@@ -565,23 +565,23 @@
         )
         try:
             if deed.what == "release":
-                yield from self.operator.start(plan)
+                yield from self.operator.start_release(plan)
                 return
             to = {
                 "release-halt": release.State.HALTED,
                 "release-resume": release.State.RUNNING,
-                "release-back": release.State.BACKING,
+                "release-back": release.State.ROLLING_BACK,
             }[deed.what]
-            yield from self.operator.move(to, "by hand")
-        except (Lost, Turned, OperationRefused) as exc:
+            yield from self.operator.change_release_state(to, "by hand")
+        except (StoreUnavailable, StoreRejected, OperationRefused) as exc:
             self.note(f"operator: {deed.what}: {exc}")
 
     def _end_release(self) -> Coroutine[None]:
         """Wait until the release in hand has ended; a halted one is taken back."""
         end = self.loop.now() + 2 * PATIENCE
         while self.loop.now() < end:
-            with contextlib.suppress(Lost, Turned, OperationRefused):
-                known, _ = yield from self.operator.look()
+            with contextlib.suppress(StoreUnavailable, StoreRejected, OperationRefused):
+                known, _ = yield from self.operator.read_snapshot()
                 if known.release is None:
                     return
                 self.saw.released, self.saw.ended = known.release.version, known.release.state
@@ -589,7 +589,7 @@
                     return
                 if known.release.state == "halted":
                     self.note(f"halted: {known.release.why}")
-                    yield from self.operator.move(release.State.BACKING, "the run ends")
+                    yield from self.operator.change_release_state(release.State.ROLLING_BACK, "the run ends")
             yield Wait(until=self.loop.now() + SECOND // 2)
 
     def _undrain_box(self, pool: str, box: str) -> Coroutine[None]:
@@ -600,8 +600,9 @@
         settled = True
         try:
             yield from self.operator.undrain_runner(pool, box, "as planned")
-        except Lost as exc:
-            settled = not exc.maybe  # else it may be done at any time yet, and nothing is promised any more
+        except StoreUnavailable as exc:
+            # Else it may be done at any time yet, and nothing is promised any more.
+            settled = not exc.maybe_applied
             raise
         finally:
             if settled:
@@ -616,7 +617,7 @@
         """What the operator is told of drained runners: a promise that the runners' book is held against."""
         while True:
             asked = self.loop.now()
-            with contextlib.suppress(Lost, Turned):
+            with contextlib.suppress(StoreUnavailable, StoreRejected):
                 rows = yield from self.operator.runners()
                 now = self.loop.now()
                 drained = {
@@ -672,7 +673,7 @@
         end = self.loop.now() + PATIENCE
         while self._agreement:
             try:
-                known, _ = yield from self.operator.look()
+                known, _ = yield from self.operator.read_snapshot()
                 for name in known.member_requests:
                     with contextlib.suppress(OperationRefused):
                         yield from self.operator.undrain(name, "the run ends")
@@ -683,7 +684,7 @@
                     known.member_requests or known.permits or known.runner_requests or known.runner_drains
                 ):
                     break
-            except (Lost, Turned):
+            except (StoreUnavailable, StoreRejected):
                 pass
             if self.loop.now() > end:
                 break
@@ -693,8 +694,8 @@
         self.saw.left_out = [member.number for member in self.members if not member.ready]
         self.saw.versions = [member.version for member in self.members]
         if self._agreement:
-            with contextlib.suppress(Lost, Turned):
-                known, _ = yield from self.operator.look()
+            with contextlib.suppress(StoreUnavailable, StoreRejected):
+                known, _ = yield from self.operator.read_snapshot()
                 self.saw.left_out += [int(name[1:]) for name in known.permits]
         self._over = True
         with contextlib.suppress(TimeoutError):
@@ -732,8 +733,8 @@
     def _until_joined(self) -> Coroutine[None]:
         end = self.loop.now() + PATIENCE
         while self.loop.now() < end:
-            with contextlib.suppress(Lost, Turned):
-                known, _ = yield from self.operator.look()
+            with contextlib.suppress(StoreUnavailable, StoreRejected):
+                known, _ = yield from self.operator.read_snapshot()
                 if len(known.heartbeats) == self._shape.members:
                     return
             yield Wait(until=self.loop.now() + SECOND // 10)
--- a/pulleyroute/service/joining.py
+++ b/pulleyroute/service/joining.py
@@ -6,7 +6,7 @@
 
 from pulleyroute import __version__
 from pulleyroute.config import Config
-from pulleyroute.fleet.agent import Agent, Place
+from pulleyroute.fleet.agent import Agent, MemberSettings
 from pulleyroute.fleet.drains import Bounds
 from pulleyroute.fleet.runners import RunnerBounds
 from pulleyroute.net.buffers import BufferPool
@@ -18,7 +18,7 @@
     """Start the agent; the service serves whatever becomes of it."""
     fleet = config.fleet
     assert fleet is not None
-    place = Place(
+    place = MemberSettings(
         fleet.group,
         fleet.member or config.name,
         fleet.zone,
@@ -30,6 +30,6 @@
     )
     # Not the file's seed: two processes of one file have to differ in what they call themselves.
     agent = Agent(loop, BufferPool(), fleet.store, place, service, random.SystemRandom().getrandbits(64))
-    service.moved = agent.moved
+    service.moved = agent.on_phase_change
     agent.start()
     return agent
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -5,7 +5,7 @@
 import pytest
 
 from pulleyroute.emulator.store import Server
-from pulleyroute.fleet.agent import Agent, Place
+from pulleyroute.fleet.agent import Agent, MemberSettings
 from pulleyroute.fleet.drains import Bounds, CountOrShare
 from pulleyroute.fleet.operate import OperationRefused, Operator
 from pulleyroute.fleet.runners import Runner, RunnerBounds
@@ -25,16 +25,16 @@
 
     def standby(self):
         self.phase = Phase.STANDBY
-        self.agent.moved()
+        self.agent.on_phase_change()
 
     def active(self):
         self.phase = Phase.SERVING
-        self.agent.moved()
+        self.agent.on_phase_change()
 
     def leave(self, version):
         self.phase = Phase.ENDING
         self.told.append(version)
-        self.agent.moved()
+        self.agent.on_phase_change()
 
     def runners(self, pool):
         return [Runner(f"r{i}", f"h{i % 2}", "k", True) for i in range(4)] if pool == "p" else None
@@ -61,7 +61,9 @@
     def join(self, name, zone="z", version="v1"):
         self.seed += 1
         service = Service()
-        place = Place("g", name, zone, "r", version, 5, self.bounds, RunnerBounds(pool=CountOrShare(count=1)))
+        place = MemberSettings(
+            "g", name, zone, "r", version, 5, self.bounds, RunnerBounds(pool=CountOrShare(count=1))
+        )
         service.agent = Agent(self.loop, BufferPool(), [self.server.address], place, service, self.seed)
         self.services[name], self.agents[name] = service, service.agent
         service.agent.start()
@@ -224,7 +226,7 @@
         agent._fresh_at -= 60 * SECOND
         assert not agent._may_go()
     fleet.until(lambda: fleet.out() == ["a"])
-    agent._right = None
+    agent._lease = None
     assert not agent._may_go()
 
 
@@ -278,7 +280,7 @@
     fleet.until(lambda: fleet.out() == ["b"], 40)
 
 
-def states(fleet):
+def runner_states(fleet):
     return {row["name"]: (row["state"], row["waits"]) for row in fleet.do(fleet.operator.runners())}
 
 
@@ -287,13 +289,13 @@
     fleet.services["b"].out = {("p", "r1")}
     fleet.do(fleet.operator.drain_runner("p", "r1", "disk"))
     fleet.do(fleet.operator.drain_runner("p", "r2", ""))
-    fleet.until(lambda: states(fleet)["r1"] == ("draining", ["b"]))
+    fleet.until(lambda: runner_states(fleet)["r1"] == ("draining", ["b"]))
     assert fleet.services["a"].marked == fleet.services["b"].marked == {("p", "r1")}
     fleet.services["b"].out.clear()
-    fleet.until(lambda: states(fleet)["r1"] == ("drained", []))
-    assert states(fleet)["r2"][0] == "wanted"
+    fleet.until(lambda: runner_states(fleet)["r1"] == ("drained", []))
+    assert runner_states(fleet)["r2"][0] == "wanted"
     fleet.do(fleet.operator.undrain_runner("p", "r1", ""))
-    fleet.until(lambda: states(fleet) == {"r2": ("drained", [])})
+    fleet.until(lambda: runner_states(fleet) == {"r2": ("drained", [])})
     assert fleet.services["a"].marked == {("p", "r2")}
     with pytest.raises(OperationRefused, match="nobody wants r1"):
         fleet.do(fleet.operator.undrain_runner("p", "r1", ""))
@@ -302,11 +304,11 @@
 def test_who_is_silent_keeps_a_runners_drain_unconfirmed(fleet):
     together(fleet, "a", "b")
     fleet.do(fleet.operator.drain_runner("p", "r1", ""))
-    fleet.until(lambda: states(fleet)["r1"][0] == "drained")
+    fleet.until(lambda: runner_states(fleet)["r1"][0] == "drained")
     fleet.agents["b"]._task.cancel()
-    fleet.until(lambda: states(fleet)["r1"] == ("draining", ["b"]))
+    fleet.until(lambda: runner_states(fleet)["r1"] == ("draining", ["b"]))
     fleet.join("b")
-    fleet.until(lambda: states(fleet)["r1"] == ("drained", []))
+    fleet.until(lambda: runner_states(fleet)["r1"] == ("drained", []))
 
 
 def test_at_rest_a_member_calls_the_store_less_than_once_a_second(fleet):
--- a/tests/fleet/test_drains.py
+++ b/tests/fleet/test_drains.py
@@ -150,7 +150,7 @@
             (keys.of("permit", "d"), records.encode(incarnation=-1)),
             (keys.of("novel", "e"), b"?"),
             (keys.of("wish", "f"), records.encode(incarnation=1, do="dance")),
-            (keys.roll, b"x"),
+            (keys.generation, b"x"),
             (keys.of("permit", "g"), records.encode(incarnation=2**60)),
             (keys.of("seat", "h"), None),
             (keys.of("word", "i"), b"[" * 100_000),
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -98,7 +98,9 @@
     "race": (
         ALL_AT_ONCE,
         """
-agent.unchanged = lambda item: {"key": "YQ==", "target": "VERSION", "version": "-1", "result": "GREATER"}
+agent.compare_unchanged = lambda item: {
+    "key": "YQ==", "target": "VERSION", "version": "-1", "result": "GREATER"
+}
 """,
     ),
     # The end of a lease frees its holder's permit.
--- a/tests/fleet/test_sizes.py
+++ b/tests/fleet/test_sizes.py
@@ -9,13 +9,13 @@
 
 from pulleyroute.fleet import records
 from pulleyroute.fleet.records import Keys
-from pulleyroute.fleet.store import LARGEST, Item, Lost, put, unchanged
+from pulleyroute.fleet.store import MAX_ANSWER_BYTES, Item, StoreUnavailable, compare_unchanged, put
 from pulleyroute.lab.fleet.rig import Rig
 from pulleyroute.lab.fleet.schedule import Schedule, Shape
 from pulleyroute.net.lifecycle import Phase
 from pulleyroute.net.loop import Loop
-from tests.fleet.test_agent import states
-from tests.fleet.test_store import Play
+from tests.fleet.test_agent import runner_states
+from tests.fleet.test_store import StoreScene
 from tests.net.scene import SECOND
 
 COUNT = 1024
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def play():
-    played = Play()
+    played = StoreScene()
     yield played
     played.close()
 
@@ -73,8 +73,8 @@
 
     play.client.call = changing
     revision, items = play.run(play.client.range(KEYS.prefix, KEYS.end))
-    assert revision == 2 and len(items) == 14 * COUNT and sum(seen) > LARGEST
-    assert all(item.mod == 2 for item in items)
+    assert revision == 2 and len(items) == 14 * COUNT and sum(seen) > MAX_ANSWER_BYTES
+    assert all(item.mod_revision == 2 for item in items)
 
 
 def test_a_reading_that_a_compaction_overtakes_is_lost_and_changed_nothing(play):
@@ -89,9 +89,9 @@
         return answer
 
     play.client.call = compacting
-    with pytest.raises(Lost) as lost:
+    with pytest.raises(StoreUnavailable) as lost:
         play.run(play.client.range(KEYS.prefix, KEYS.end))
-    assert not lost.value.maybe
+    assert not lost.value.maybe_applied
 
 
 def test_a_change_of_1024_keys_is_heard_by_a_watch(play):
@@ -101,7 +101,7 @@
         yield from play.client.watch(KEYS.prefix, KEYS.end, 2, lambda items, _: heard.extend(items), SECOND)
 
     fill(play.servers[0].store, members())
-    with pytest.raises(Lost):
+    with pytest.raises(StoreUnavailable):
         play.run(watching())
     assert len(heard) == 2 * COUNT
 
@@ -110,10 +110,11 @@
     store = play.servers[0].store
     fill(store, members())
     items = [Item(key, b"", 2, 2) for key, _ in members()]
-    guards = [unchanged(item) for item in items if b"/word/" in item.key]
+    guards = [compare_unchanged(item) for item in items if b"/word/" in item.key]
     also = [put(KEYS.of("wish", name), b"{}") for name in NAMES]
     until = play.loop.now() + SECOND
-    assert play.run(play.client.commit(Item(b"permit"), b"v", until, guards=guards, also=also)) is None
+    commit = play.client.commit(Item(b"permit"), b"v", until, compares=guards, extra_operations=also)
+    assert play.run(commit) is None
     assert len(store.range(*KEYS.below("wish"))) == COUNT
 
 
@@ -132,7 +133,7 @@
     mark = (KEYS.of("mark", "p", "r0"), records.encode(mark="m", by="ann", why="why"))
     want = (KEYS.of("want", "p", "r0"), records.encode(mark="w", by="ann", why="why"))
     fill(store, [*members(), *acks(2), mark, want])
-    assert states(fleet)["r0"] == ("drained", [])
+    assert runner_states(fleet)["r0"] == ("drained", [])
     whole, sizes = store.txn, []
 
     def counted(compares, success, failure):
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -9,7 +9,15 @@
 import pytest
 
 from pulleyroute.emulator.store import Server
-from pulleyroute.fleet.store import Client, Compacted, Item, Lost, Turned, guard, right
+from pulleyroute.fleet.store import (
+    Client,
+    Compacted,
+    Item,
+    StoreRejected,
+    StoreUnavailable,
+    compare_created,
+    lease_from_grant,
+)
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.loop import Loop
 from tests.net.scene import SECOND, ManualClockLoop
@@ -17,7 +25,7 @@
 FOREVER = 1 << 62
 
 
-class Play:
+class StoreScene:
     """Coroutines on a loop whose clock stands still until a wait needs it to move."""
 
     def __init__(self, tmp_path=None, servers=1):
@@ -62,7 +70,7 @@
 
 @pytest.fixture
 def play(tmp_path):
-    played = Play(tmp_path)
+    played = StoreScene(tmp_path)
     yield played
     played.close()
 
@@ -74,10 +82,10 @@
 def test_what_is_committed_is_read_with_its_revisions(play):
     assert put(play, b"k", b"one") is None
     revision, (item,) = play.run(play.client.range(b"k"))
-    assert (item.value, item.mod, item.create, revision) == (b"one", 2, 2, 2)
+    assert (item.value, item.mod_revision, item.create_revision, revision) == (b"one", 2, 2, 2)
     assert put(play, b"k", b"two", item) is None
     beaten = put(play, b"k", b"three", item)  # by the revision before
-    assert (beaten.value, beaten.create, beaten.mod) == (b"two", 2, 3)
+    assert (beaten.value, beaten.create_revision, beaten.mod_revision) == (b"two", 2, 3)
 
 
 @pytest.mark.parametrize("lost", [1, 2])
@@ -90,28 +98,28 @@
 
 def test_a_lost_answer_is_told_as_such_where_no_time_is_left_and_a_dead_store_as_not_done(play):
     play.servers[0].faults.lose_answers = 1
-    with pytest.raises(Lost) as told:
+    with pytest.raises(StoreUnavailable) as told:
         play.run(play.client.commit(Item(b"k"), b"v", play.loop.now()))
-    assert told.value.maybe
+    assert told.value.maybe_applied
     play.servers[0].close()
-    with pytest.raises(Lost) as told:
+    with pytest.raises(StoreUnavailable) as told:
         play.run(play.another().commit(Item(b"j"), b"v", play.loop.now()))
-    assert not told.value.maybe
+    assert not told.value.maybe_applied
     play.servers.clear()
 
 
 def test_a_write_with_the_guard_of_an_election_key_changes_nothing_once_another_leads(play):
     held = play.run(play.client.grant(5))
-    put(play, b"leader", b"old", lease=held.lease)
+    put(play, b"leader", b"old", lease=held.id)
     mine = play.run(play.client.range(b"leader"))[1][0]
     play.run(play.client.revoke(held))
     put(play, b"leader", b"new")
-    late = put(play, b"plan", b"late", guards=[guard(b"leader", mine.create)])
+    late = put(play, b"plan", b"late", compares=[compare_created(b"leader", mine.create_revision)])
     assert late == Item(b"plan") and play.run(play.client.range(b"plan"))[1] == []
 
 
 def test_an_endpoint_that_is_dead_or_has_no_leader_gives_way_to_the_next():
-    play = Play(servers=3)
+    play = StoreScene(servers=3)
     play.servers.pop(0).close()
     play.servers[0].faults.leaderless = True
     assert put(play, b"k", b"v") is None
@@ -122,9 +130,9 @@
 def test_transactions_under_a_prefix_are_held_until_so_many_keys_are_asked_for(play):
     play.servers[0].faults.gather, play.servers[0].faults.gather_under = 2, "permit/"
     assert put(play, b"k", b"v") is None
-    with pytest.raises(Lost) as told:
+    with pytest.raises(StoreUnavailable) as told:
         play.run(play.client.commit(Item(b"permit/1"), b"a", play.loop.now()))
-    assert told.value.maybe and play.servers[0].store.range(b"permit/1") == []
+    assert told.value.maybe_applied and play.servers[0].store.range(b"permit/1") == []
     assert put(play, b"permit/2", b"b") is None
     play.loop.skip(SECOND)
     assert play.servers[0].store.range(b"permit/1")[0].value == b"a"
@@ -133,9 +141,9 @@
 def test_a_slow_store_is_given_up_in_time(play):
     play.servers[0].faults.slow = 3 * SECOND
     before = play.loop.now()
-    with pytest.raises(Lost) as told:
+    with pytest.raises(StoreUnavailable) as told:
         play.run(play.client.range(b"k"))
-    assert told.value.maybe and play.loop.now() - before <= 1.2 * SECOND
+    assert told.value.maybe_applied and play.loop.now() - before <= 1.2 * SECOND
 
 
 def test_a_right_is_counted_from_before_it_was_asked_for_and_ends_before_the_stores_lease(play):
@@ -143,13 +151,17 @@
     play.servers[0].faults.slow = SECOND // 2
     asked = play.loop.now()
     held = play.run(play.client.grant(2))
-    assert held.until <= asked + 2 * SECOND < play.servers[0].store.leases[held.lease].until
+    assert held.expires_at <= asked + 2 * SECOND < play.servers[0].store.leases[held.id].until
     play.servers[0].faults.slow = 0
     longer = play.run(play.client.extend(held))
-    assert longer.until > held.until and longer.holds(longer.until - 1) and not longer.holds(longer.until)
+    assert (
+        longer.expires_at > held.expires_at
+        and longer.is_valid(longer.expires_at - 1)
+        and not longer.is_valid(longer.expires_at)
+    )
     play.loop.skip(3 * SECOND)
     assert play.run(play.client.extend(held)) is None  # the store knows it no more
-    assert right(7, 10, 0).until < 10 * SECOND
+    assert lease_from_grant(7, 10, 0).expires_at < 10 * SECOND
 
 
 def test_a_watch_tells_changes_and_what_lapses_and_a_compacted_start_is_told(play):
@@ -157,7 +169,7 @@
     held = play.run(play.client.grant(2))
     watch = play.client.watch(b"a", b"b", 1, lambda items, at: told.extend(items), 9 * SECOND)
     task = play.loop.spawn(watch, "watch")
-    put(play, b"a1", b"v", lease=held.lease)
+    put(play, b"a1", b"v", lease=held.id)
     put(play, b"z", b"outside")
     play.loop.skip(SECOND)
     play.loop.settle()
@@ -174,7 +186,7 @@
 
 def test_a_watch_that_falls_silent_is_told_as_lost(play):
     play.servers[0].faults.silent_watches = True
-    with pytest.raises(Lost):
+    with pytest.raises(StoreUnavailable):
         play.run(play.client.watch(b"a", b"b", 0, lambda items, at: None, 2 * SECOND))
 
 
@@ -192,7 +204,7 @@
     ],
 )
 def test_bad_calls_are_turned_down_with_a_reason_and_change_nothing(play, path, body):
-    with pytest.raises(Turned):
+    with pytest.raises(StoreRejected):
         play.run(play.client.call(path, body))
     assert play.servers[0].store.revision == 1 and not play.loop.errors
 
@@ -204,9 +216,9 @@
         raise OSError("no space left")
 
     monkeypatch.setattr("pulleyroute.emulator.store.os.fsync", full)
-    with pytest.raises(Lost) as told:
+    with pytest.raises(StoreUnavailable) as told:
         play.run(play.client.commit(Item(b"j"), b"v", play.loop.now() + SECOND))
-    assert told.value.maybe
+    assert told.value.maybe_applied
     monkeypatch.undo()
     play.servers.pop().close()
     play.servers.append(Server(play.loop, log=play.log))
@@ -233,7 +245,7 @@
     try:
         held = run(client.grant(60))
         for name in (b"a", b"b", b"c"):
-            lease = held.lease if name == b"b" else 0
+            lease = held.id if name == b"b" else 0
             assert run(client.commit(Item(name), name, FOREVER, lease=lease)) is None
     finally:
         process.send_signal(signal.SIGKILL)
