--- a/pulleyroute/fleet/members.py
+++ b/pulleyroute/fleet/members.py
@@ -1,8 +1,9 @@
-"""Who is in the fleet, and who counts as out. Pure: what is known in, what follows out.
+"""Membership of a fleet: which members exist, and which of them count as out of service. No I/O.
 
-Two records tell of a member. Its *seat* stays in the store until an operator or the member itself takes it
-away; its *word* stands under a lease and says what it does. Absence is not evidence: a seat without a word is
-out, and nobody can tell from it whether its process has crashed, stands still or is cut off.
+Two records describe a member. Its registration has no lease and stays in the store until an operator or the
+member itself removes it. Its heartbeat is attached to a lease and states the phase of the process. A missing
+heartbeat doesn't tell whether the process has crashed, is stalled or is cut off from the store, so a
+registered member without a heartbeat counts as out.
 """
 
 from __future__ import annotations
@@ -13,20 +14,23 @@
 
 
 class MemberStatus(Enum):
-    """What is known of a member. Only `SERVING` is not out."""
+    """The status of a member as derived from its records. Every status but `SERVING` counts as out."""
 
     SERVING = "serving"
     STARTING = "starting"
     STANDBY = "standby"
     ENDING = "ending"
-    PERMITTED = "on a permit"  # it may go at any moment, whatever it says of itself
-    SILENT = "silent"  # crashed, stalled or cut off: no word under a lease
-    STALE = "stale"  # its word is of an older incarnation than its seat
+    PERMITTED = "on a permit"  # may leave service at any moment, whatever phase its heartbeat states
+    SILENT = "silent"  # no heartbeat: crashed, stalled or cut off
+    STALE = "stale"  # the heartbeat is of an older incarnation than the registration
 
 
 @dataclass(slots=True, frozen=True)
 class Registration:
-    """A place in the fleet, kept without a lease. `incarnation`: of the newest process that took it."""
+    """A member's entry in the fleet, stored without a lease.
+
+    `incarnation`: number of the newest process that has registered under the name.
+    """
 
     name: str
     incarnation: int
@@ -36,17 +40,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Heartbeat:
-    """What a process says of itself, under its lease."""
+    """The state that a process reports of itself, stored under its lease."""
 
     name: str
     incarnation: int
-    phase: str  # of `net/lifecycle.py`
+    phase: str  # a value of `net.lifecycle.Phase`
     version: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """How many may be out at once. A number of members each; None for no limit."""
+    """Limits on members out at the same time, as numbers of members; None for no limit.
+
+    `least_serving`: the number of members that have to keep serving.
+    """
 
     fleet: int | None = None
     zone: int | None = None
@@ -54,20 +61,21 @@
     least_serving: int = 0
 
 
-def members_in_share(most: float, of: int) -> int:
-    """The number that a share of so many allows: never more than the share, so that 0.5 of 3 is one."""
-    return int(most * of + 1e-9)
+def members_in_share(share: float, total: int) -> int:
+    """Return the largest number of members that doesn't exceed a share of the total: 1 for 0.5 of 3."""
+    return int(share * total + 1e-9)
 
 
 def may_claim(registration: Registration | None, incarnation: int) -> bool:
-    """Whether a process may take a seat: it is free, its own, or of an older incarnation.
+    """Return whether a process may register under a name that has this registration.
 
-    The other one that claims the same name goes on serving, says so, and touches nothing shared.
+    The name has to be free, the process's own, or held by an older incarnation. A process that may not
+    register continues to serve, logs the conflict and writes nothing to the store.
     """
     return registration is None or incarnation >= registration.incarnation
 
 
-_PHASES = {
+_STATUS_BY_PHASE = {
     "serving": MemberStatus.SERVING,
     "starting": MemberStatus.STARTING,
     "standby": MemberStatus.STANDBY,
@@ -75,61 +83,67 @@
 
 
 def member_status(registration: Registration, heartbeat: Heartbeat | None, permitted: bool) -> MemberStatus:
-    """What is known of one member. A phase that is not known here counts as out, as `ENDING`."""
+    """Return the status of one member. A phase that this version doesn't know counts as `ENDING`."""
     if permitted:
-        # Guards the limits: a permit that somebody holds is used up until it is returned, and neither its
-        # holder's word nor the end of its lease returns it.
+        # A permit counts against the limits until it is returned. Neither its holder's heartbeat nor the end
+        # of the holder's lease returns it.
         return MemberStatus.PERMITTED
     if heartbeat is None:
         return MemberStatus.SILENT
     if heartbeat.incarnation != registration.incarnation:
-        # Guards against an old process that wakes: its word is not the one that has the seat.
+        # The heartbeat of an old process that resumes doesn't describe the process that is registered now.
         return MemberStatus.STALE
-    return _PHASES.get(heartbeat.phase, MemberStatus.ENDING)
+    return _STATUS_BY_PHASE.get(heartbeat.phase, MemberStatus.ENDING)
 
 
 def member_statuses(
     registrations: Iterable[Registration], heartbeats: Mapping[str, Heartbeat], permits: Iterable[str]
 ) -> dict[str, MemberStatus]:
-    """The standing of every member that has a seat; a word without a seat is nobody's."""
-    held = set(permits)
+    """Return the status of every registered member by name; heartbeats without a registration are ignored."""
+    permitted = set(permits)
     return {
         registration.name: member_status(
-            registration, heartbeats.get(registration.name), registration.name in held
+            registration, heartbeats.get(registration.name), registration.name in permitted
         )
         for registration in registrations
     }
 
 
 def refusal(
-    registrations: Iterable[Registration], snapshot: Mapping[str, MemberStatus], limits: Limits, name: str
+    registrations: Iterable[Registration], statuses: Mapping[str, MemberStatus], limits: Limits, name: str
 ) -> str | None:
-    """Why a member may not go out now, as a line for an operator; None if it may.
+    """Return why a member may not leave service now, as one line for an operator; None if it may.
 
-    One that is out already changes no count, and so may always have its permit.
+    A member that is out already changes no count, so its permit is never refused.
     """
-    places = {registration.name: registration for registration in registrations}
-    asker = places.get(name)
-    if asker is None:
-        return f"{name} has no seat"
-    gone = [
-        places[each] for each, how in snapshot.items() if how is not MemberStatus.SERVING and each in places
+    by_name = {registration.name: registration for registration in registrations}
+    candidate = by_name.get(name)
+    if candidate is None:
+        return f"{name} is not registered"
+    out = [
+        by_name[each]
+        for each, status in statuses.items()
+        if status is not MemberStatus.SERVING and each in by_name
     ]
-    if asker in gone:
+    if candidate in out:
         return None
     rows = (
-        ("the fleet", limits.fleet, len(gone)),
+        ("the fleet", limits.fleet, len(out)),
         (
-            f"zone {asker.zone}",
+            f"zone {candidate.zone}",
             limits.zone,
-            sum(1 for each in gone if (each.region, each.zone) == (asker.region, asker.zone)),
+            sum(1 for each in out if (each.region, each.zone) == (candidate.region, candidate.zone)),
+        ),
+        (
+            f"region {candidate.region}",
+            limits.region,
+            sum(1 for each in out if each.region == candidate.region),
         ),
-        (f"region {asker.region}", limits.region, sum(1 for each in gone if each.region == asker.region)),
     )
-    for where, most, out in rows:
-        if most is not None and out + 1 > most:
-            return f"{out} of {where} are out, and {most} may be"
-    serving = len(places) - len(gone)
+    for scope, limit, count in rows:
+        if limit is not None and count + 1 > limit:
+            return f"members out in {scope}: {count}; limit: {limit}"
+    serving = len(by_name) - len(out)
     if serving - 1 < limits.least_serving:
-        return f"{serving} serve, and {limits.least_serving} have to"
+        return f"members serving: {serving}; minimum: {limits.least_serving}"
     return None
--- a/tests/fleet/test_drains.py
+++ b/tests/fleet/test_drains.py
@@ -74,7 +74,7 @@
 )
 def test_everybody_not_proved_to_serve_counts(snapshot):
     assert acts(snapshot, "a") is Action.NOTHING
-    assert permit_refusal("a", snapshot, ONE) == "1 of the fleet are out, and 1 may be"
+    assert permit_refusal("a", snapshot, ONE) == "members out in the fleet: 1; limit: 1"
 
 
 def test_a_process_that_has_just_come_back_gets_no_permit_as_one_that_is_out():
@@ -130,11 +130,11 @@
 def test_zones_and_regions_have_limits_of_their_own():
     snapshot = fleet("a", "b", "c", "d", out=["c"])  # a and c stand in z0
     bounds = Bounds(zone=CountOrShare(share=0.5))
-    assert permit_refusal("a", snapshot, bounds) == "1 of zone z0 are out, and 1 may be"
+    assert permit_refusal("a", snapshot, bounds) == "members out in zone z0: 1; limit: 1"
     assert permit_refusal("b", snapshot, bounds) is None
     assert (
         permit_refusal("b", snapshot, Bounds(region=CountOrShare(count=1)))
-        == "1 of region r are out, and 1 may be"
+        == "members out in region r: 1; limit: 1"
     )
 
 
