--- a/pulleyroute/fleet/agent.py
+++ b/pulleyroute/fleet/agent.py
@@ -462,7 +462,9 @@
         """Write what comes next. The guards hold it to this leader: one that was paused changes nothing."""
         keys = self._keys
         record = item_at(self._mirror, keys.release)
-        member_requests = {request.name: self._value(**request.values()) for request in move.member_requests}
+        member_requests = {
+            request.name: self._value(**request.record_values()) for request in move.member_requests
+        }
         # As they were read: an operator's wish that came meanwhile is not written over.
         compares = [
             *compares,
@@ -513,7 +515,7 @@
         return [
             put(roll, self._value()),
             put(
-                *records.line(
+                *records.history_entry(
                     keys,
                     time.time_ns() // 1_000_000,
                     self._settings.member,
--- a/pulleyroute/fleet/operate.py
+++ b/pulleyroute/fleet/operate.py
@@ -16,12 +16,12 @@
 from pulleyroute.fleet.drains import statuses
 from pulleyroute.fleet.members import MemberStatus
 from pulleyroute.fleet.records import (
-    Do,
     Event,
     Keys,
     MemberRequest,
     OperationRefused,
     Release,
+    RequestedAction,
     RunnerDrain,
     Snapshot,
 )
@@ -81,7 +81,7 @@
         snapshot, _ = yield from self.read_snapshot()
         return snapshot.history
 
-    def drain(self, name: str, do: Do, why: str, version: str = "") -> Coroutine[None]:
+    def drain(self, name: str, do: RequestedAction, why: str, version: str = "") -> Coroutine[None]:
         """Want a member on standby, or started again; it goes once it has its permit."""
 
         def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
@@ -90,7 +90,7 @@
                 there = ", ".join(sorted(snapshot.registrations)) or "nobody is"
                 raise OperationRefused(f"{name} is not in this fleet: {there}")
             request = MemberRequest(name, do, registration.incarnation, version, self._by, why)
-            value = self._value(**request.values())
+            value = self._value(**request.record_values())
             return (
                 self._item(items, "wish", name),
                 value,
@@ -232,7 +232,7 @@
             snapshot, items = yield from self.read_snapshot()
             item, value, compares, extra_operations = change(snapshot, items)
             at = time.time_ns() // 1_000_000
-            line = records.line(self._keys, at, self._by, what, why, self._random.getrandbits(32))
+            line = records.history_entry(self._keys, at, self._by, what, why, self._random.getrandbits(32))
             other = yield from self._client.commit(
                 item,
                 value,
