--- a/pulleyroute/fleet/drains.py
+++ b/pulleyroute/fleet/drains.py
@@ -1,8 +1,8 @@
-"""When a dispatcher goes out and comes back. Pure: what is known in, the one next step out.
+"""When a member leaves service and returns: the next step, as a function of the records. No I/O.
 
-A planned way out begins with a wish (an operator's, a release's), needs a permit, and ends with the permit's
-return by the process that serves again. A way out from outside (SIGTERM, SIGKILL, the admin listener) is
-obeyed at once by whoever gets it, and counted by everybody else.
+A planned outage starts with a request by an operator or a release, needs a permit, and ends when the process
+that serves again returns the permit. An outage caused from outside (SIGTERM, SIGKILL, the admin listener)
+takes effect at once, without a permit, and the other members count it.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Action(Enum):
-    """The one thing to do next."""
+    """The next thing that a process has to do; the values appear in the log."""
 
     NOTHING = "nothing"
     CLAIM = "claim the seat"
@@ -36,25 +36,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Step:
+    """The next action. `why`: the requested action or version, or what delays the request."""
+
     action: Action
-    why: str = ""  # what keeps a wish from being carried out, or the wish
+    why: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class CountOrShare:
-    """A limit as the settings give it: a number, or a share of those that there are."""
+    """A limit in the configuration: a number, or a share of a total. Exactly one of the two is set."""
 
     count: int | None = None
     share: float | None = None
 
-    def of(self, there: int) -> int:
-        """The limit among so many."""
-        return self.count if self.count is not None else members_in_share(self.share or 0.0, there)
+    def of(self, total: int) -> int:
+        """Return the limit as a number, for this total."""
+        return self.count if self.count is not None else members_in_share(self.share or 0.0, total)
 
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """The limits in the settings; None for no limit. `size`: members that there are, 0 if not told."""
+    """The configured limits on members out at the same time; None for no limit.
+
+    `least_serving`: number of members that have to keep serving. `size`: number of members that the fleet is
+    configured to have, 0 if not configured.
+    """
 
     fleet: CountOrShare | None = None
     zone: CountOrShare | None = None
@@ -63,32 +69,32 @@
     size: int = 0
 
     def unregistered(self, snapshot: Snapshot) -> int:
-        """How many members have no seat.
+        """Return how many of the configured members are not registered.
 
-        Guards the limits against a store that has lost its records: whoever has not come back to it yet
-        counts as out, wherever it stands.
+        They count as out in every zone and region. Otherwise the limits would be exceeded after the store has
+        lost its records, while some members have not registered again.
         """
         return max(0, self.size - len(snapshot.registrations))
 
     def limits(self, snapshot: Snapshot, registration: Registration) -> Limits:
-        """As numbers, for one that asks from this seat, less the unseen."""
+        """Return the limits as numbers for a registered member, less the members that are not registered."""
         registrations = list(snapshot.registrations.values())
         unregistered = self.unregistered(snapshot)
-        near = [each for each in registrations if each.region == registration.region]
+        same_region = [each for each in registrations if each.region == registration.region]
 
-        def of(part: CountOrShare | None, there: int) -> int | None:
-            return None if part is None else part.of(there) - unregistered
+        def remaining(limit: CountOrShare | None, total: int) -> int | None:
+            return None if limit is None else limit.of(total) - unregistered
 
         return Limits(
-            of(self.fleet, max(len(registrations), self.size)),
-            of(self.zone, sum(1 for each in near if each.zone == registration.zone)),
-            of(self.region, len(near)),
+            remaining(self.fleet, max(len(registrations), self.size)),
+            remaining(self.zone, sum(1 for each in same_region if each.zone == registration.zone)),
+            remaining(self.region, len(same_region)),
             self.least_serving,
         )
 
 
 def step(
-    me: str,
+    name: str,
     token: str,
     incarnation: int | None,
     phase: str,
@@ -96,67 +102,73 @@
     snapshot: Snapshot,
     bounds: Bounds,
 ) -> Step:
-    """What a process does next.
+    """Return the next step of a member's process.
 
-    `token`: unlike any other process's; `incarnation`: that it claimed its seat with, None before; `phase`:
-    of `net/lifecycle.py`; `planned`: whether it is on standby by a wish.
+    `token`: unique to the process. `incarnation`: the one that it registered with, None before. `phase`: a
+    value of `net.lifecycle.Phase`. `planned`: whether it is on standby because of a request.
     """
-    registration = snapshot.registrations.get(me)
+    registration = snapshot.registrations.get(name)
     if registration is None:
         return Step(Action.CLAIM)
-    if snapshot.tokens[me] != token:
+    if snapshot.tokens[name] != token:
         if incarnation is None or registration.incarnation < incarnation:
             return Step(Action.CLAIM)
-        return Step(Action.YIELD, f"incarnation {registration.incarnation} has the seat")
-    heartbeat, request = snapshot.heartbeats.get(me), snapshot.member_requests.get(me)
-    told = (
+        return Step(Action.YIELD, f"incarnation {registration.incarnation} is registered")
+    heartbeat, request = snapshot.heartbeats.get(name), snapshot.member_requests.get(name)
+    reported = (
         heartbeat is not None
         and heartbeat.incarnation == registration.incarnation
         and heartbeat.phase == phase
     )
-    permit = me in snapshot.permits
-    gone = request is not None and request.do == "restart" and request.incarnation < registration.incarnation
-    if request is None or gone:
-        if phase == "standby" and (permit or planned):
-            # Guards against being out for ever: the store may have lost the wish, and the permit with it. Who
-            # was put on standby from outside has neither, and stays.
+    has_permit = name in snapshot.permits
+    restarted = (
+        request is not None and request.do == "restart" and request.incarnation < registration.incarnation
+    )
+    if request is None or restarted:
+        if phase == "standby" and (has_permit or planned):
+            # `planned` covers a store that has lost the request and the permit: the process would stay on
+            # standby for ever. A process put on standby from outside has neither and stays there.
             return Step(Action.ACTIVE)
-        if phase == "serving" and told and (permit or gone):
-            # With its word there it counts as serving from this write on, and not a moment before.
+        if phase == "serving" and reported and (has_permit or restarted):
+            # Its heartbeat states that it serves, so that it counts as serving as soon as the permit is gone.
             return Step(Action.RETURN)
         return Step(Action.NOTHING)
     if phase not in ("serving", "standby"):
         return Step(Action.NOTHING)
-    if not permit:
-        if phase == "serving" and not told:
-            # Guards the limits against a process that has just come back and counts as out until it has said
-            # so: a permit for one who is out changes no count, but this one serves.
+    if not has_permit:
+        if phase == "serving" and not reported:
+            # A process that has just returned to service counts as out until its heartbeat is written. A
+            # member that is out gets a permit beyond the limits, since that changes no count; but this
+            # process serves, and would be one more member out.
             return Step(Action.NOTHING)
-        why = permit_refusal(me, snapshot, bounds)
-        return Step(Action.ASK, request.do) if why is None else Step(Action.NOTHING, why)
+        reason = permit_refusal(name, snapshot, bounds)
+        return Step(Action.ASK, request.do) if reason is None else Step(Action.NOTHING, reason)
     if request.do == "restart":
         return Step(Action.LEAVE, request.version)
     return Step(Action.STANDBY if phase == "serving" else Action.NOTHING)
 
 
 def statuses(snapshot: Snapshot) -> dict[str, MemberStatus]:
-    """What is known of every member."""
+    """Return the status of every registered member by name."""
     return member_statuses(snapshot.registrations.values(), snapshot.heartbeats, snapshot.permits)
 
 
-def permit_refusal(me: str, snapshot: Snapshot, bounds: Bounds) -> str | None:
-    """Why a member may not go out now; None if it may."""
-    registration = snapshot.registrations.get(me)
+def permit_refusal(name: str, snapshot: Snapshot, bounds: Bounds) -> str | None:
+    """Return why a member may not leave service now, as one line for an operator; None if it may."""
+    registration = snapshot.registrations.get(name)
     if registration is None:
-        return f"{me} has no seat"
-    why = refusal(
-        snapshot.registrations.values(), statuses(snapshot), bounds.limits(snapshot, registration), me
+        return f"{name} is not registered"
+    reason = refusal(
+        snapshot.registrations.values(), statuses(snapshot), bounds.limits(snapshot, registration), name
     )
-    if why is not None and bounds.unregistered(snapshot):
-        why += f"; {bounds.unregistered(snapshot)} have not come to the store"
-    return why
+    if reason is not None and bounds.unregistered(snapshot):
+        reason += f"; members not registered: {bounds.unregistered(snapshot)}"
+    return reason
 
 
 def serving_members(snapshot: Snapshot) -> list[str]:
-    """Those whose word a permit's count rests on: their words have to stand unchanged when it is written."""
-    return sorted(name for name, how in statuses(snapshot).items() if how is MemberStatus.SERVING)
+    """Return the members that the count for a permit relies on as serving.
+
+    Their heartbeats have to be unchanged when the permit is written.
+    """
+    return sorted(name for name, status in statuses(snapshot).items() if status is MemberStatus.SERVING)
--- a/pulleyroute/fleet/records.py
+++ b/pulleyroute/fleet/records.py
@@ -109,7 +109,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RunnerDrain:
-    """A drain of a runner, requested or in effect. `token`: unique to this record; `by`, `why`: as requested."""
+    """A drain of a runner, requested or in effect. `token`: unique to this record."""
 
     token: str
     by: str = ""
--- a/tests/fleet/test_drains.py
+++ b/tests/fleet/test_drains.py
@@ -1,4 +1,4 @@
-"""When a member goes out and comes back, by what is known; and the protocol's states, all of them."""
+"""The steps of a member that leaves service and returns, and an exploration of the protocol's states."""
 
 from dataclasses import replace
 
@@ -9,11 +9,11 @@
 from pulleyroute.fleet.members import Heartbeat, Registration
 from pulleyroute.fleet.records import Keys, MemberRequest, Snapshot
 
-ONE = Bounds(fleet=CountOrShare(count=1), least_serving=1)
+ONE_OUT = Bounds(fleet=CountOrShare(count=1), least_serving=1)
 
 
-def fleet(*names, out=(), silent=(), permits=(), member_requests=()):
-    """Members that serve, but for those named otherwise. Their tokens are their names."""
+def snapshot_of(*names, out=(), silent=(), permits=(), requests=()):
+    """Records of members that serve, apart from those in `out` and `silent`. The tokens are the names."""
     return Snapshot(
         registrations={name: Registration(name, 1, f"z{i % 2}", "r") for i, name in enumerate(names)},
         tokens={name: name for name in names},
@@ -23,99 +23,93 @@
             if name not in silent
         },
         permits=dict.fromkeys(permits, 1),
-        member_requests={request.name: request for request in member_requests},
+        member_requests={request.name: request for request in requests},
     )
 
 
-def request(name, do="standby", incarnation=1):
+def new_request(name, do="standby", incarnation=1):
     return MemberRequest(name, do, incarnation)
 
 
-def acts(snapshot, name, phase="serving", planned=False, incarnation=1, bounds=ONE):
+def next_action(snapshot, name, phase="serving", planned=False, incarnation=1, bounds=ONE_OUT):
     return step(name, name, incarnation, phase, planned, snapshot, bounds).action
 
 
-def test_a_wish_is_asked_for_then_carried_out_then_taken_back():
-    snapshot = fleet("a", "b", "c", member_requests=[request("a")])
-    assert acts(snapshot, "a") is Action.ASK and acts(snapshot, "b") is Action.NOTHING
+def test_a_request_is_permitted_then_carried_out_then_taken_back():
+    snapshot = snapshot_of("a", "b", "c", requests=[new_request("a")])
+    assert next_action(snapshot, "a") is Action.ASK and next_action(snapshot, "b") is Action.NOTHING
     snapshot.permits["a"] = 1
-    assert acts(snapshot, "a") is Action.STANDBY
+    assert next_action(snapshot, "a") is Action.STANDBY
     snapshot.heartbeats["a"] = Heartbeat("a", 1, "standby")
-    assert acts(snapshot, "a", "standby", True) is Action.NOTHING
+    assert next_action(snapshot, "a", "standby", True) is Action.NOTHING
     snapshot.member_requests.clear()
-    assert acts(snapshot, "a", "standby", True) is Action.ACTIVE
-    assert acts(snapshot, "a", "serving") is Action.NOTHING  # its word still says standby: the permit stays
+    assert next_action(snapshot, "a", "standby", True) is Action.ACTIVE
+    # The heartbeat still states standby: the permit is kept.
+    assert next_action(snapshot, "a", "serving") is Action.NOTHING
     snapshot.heartbeats["a"] = Heartbeat("a", 1, "serving")
-    assert acts(snapshot, "a", "serving") is Action.RETURN
+    assert next_action(snapshot, "a", "serving") is Action.RETURN
 
 
-def test_a_restart_is_over_once_the_next_process_has_said_that_it_serves():
-    snapshot = fleet("a", "b", permits=["a"], member_requests=[request("a", "restart")])
-    assert acts(snapshot, "a") is Action.LEAVE
-    snapshot.registrations["a"], snapshot.tokens["a"] = (
-        replace(snapshot.registrations["a"], incarnation=2),
-        "next",
-    )
-    assert step("a", "next", 2, "serving", False, snapshot, ONE).action is Action.NOTHING
+def test_a_restart_is_over_once_the_next_process_has_reported_that_it_serves():
+    snapshot = snapshot_of("a", "b", permits=["a"], requests=[new_request("a", "restart")])
+    assert next_action(snapshot, "a") is Action.LEAVE
+    snapshot.registrations["a"] = replace(snapshot.registrations["a"], incarnation=2)
+    snapshot.tokens["a"] = "next"
+    assert step("a", "next", 2, "serving", False, snapshot, ONE_OUT).action is Action.NOTHING
     snapshot.heartbeats["a"] = Heartbeat("a", 2, "serving")
-    assert step("a", "next", 2, "serving", False, snapshot, ONE).action is Action.RETURN
+    assert step("a", "next", 2, "serving", False, snapshot, ONE_OUT).action is Action.RETURN
 
 
 @pytest.mark.parametrize(
     "snapshot",
     [
-        fleet("a", "b", "c", out=["b"], member_requests=[request("a")]),
-        fleet("a", "b", "c", silent=["b"], member_requests=[request("a")]),
-        fleet("a", "b", "c", permits=["b"], member_requests=[request("a")]),
-        fleet(
-            "a", "b", "c", permits=["b"], silent=["b"], member_requests=[request("a")]
-        ),  # it crashed while it was out
+        snapshot_of("a", "b", "c", out=["b"], requests=[new_request("a")]),
+        snapshot_of("a", "b", "c", silent=["b"], requests=[new_request("a")]),
+        snapshot_of("a", "b", "c", permits=["b"], requests=[new_request("a")]),
+        # b crashed while it was out.
+        snapshot_of("a", "b", "c", permits=["b"], silent=["b"], requests=[new_request("a")]),
     ],
 )
-def test_everybody_not_proved_to_serve_counts(snapshot):
-    assert acts(snapshot, "a") is Action.NOTHING
-    assert permit_refusal("a", snapshot, ONE) == "members out in the fleet: 1; limit: 1"
+def test_every_member_not_proved_to_serve_counts(snapshot):
+    assert next_action(snapshot, "a") is Action.NOTHING
+    assert permit_refusal("a", snapshot, ONE_OUT) == "members out in the fleet: 1; limit: 1"
 
 
-def test_a_process_that_has_just_come_back_gets_no_permit_as_one_that_is_out():
-    # Failure, found by the exploration below: counted as out until its word was there, it had a permit beside
-    # another's and went.
-    snapshot = fleet("a", "b", silent=["a"], permits=["b"], member_requests=[request("a")])
-    assert acts(snapshot, "a", "serving") is Action.NOTHING
-    assert (
-        acts(snapshot, "a", "standby") is Action.ASK
-    )  # this one is out, by a wish that it has no permit for yet
+def test_a_process_that_has_just_returned_gets_no_permit_as_a_member_that_is_out():
+    # Failure, found by the exploration below: a process that counted as out until its heartbeat was written
+    # got a permit beside another member's, and left service.
+    snapshot = snapshot_of("a", "b", silent=["a"], permits=["b"], requests=[new_request("a")])
+    assert next_action(snapshot, "a", "serving") is Action.NOTHING
+    # A process on standby is out, though its request has no permit yet.
+    assert next_action(snapshot, "a", "standby") is Action.ASK
 
 
-def test_members_that_have_not_come_to_an_empty_store_count_as_out():
-    snapshot = fleet("a", "b", member_requests=[request("a")])
-    assert acts(snapshot, "a", bounds=replace(ONE, size=2)) is Action.ASK
-    assert acts(snapshot, "a", bounds=replace(ONE, size=3)) is Action.NOTHING
-    assert "1 have not come to the store" in permit_refusal("a", snapshot, replace(ONE, size=3))
+def test_members_that_are_not_registered_in_an_empty_store_count_as_out():
+    snapshot = snapshot_of("a", "b", requests=[new_request("a")])
+    assert next_action(snapshot, "a", bounds=replace(ONE_OUT, size=2)) is Action.ASK
+    assert next_action(snapshot, "a", bounds=replace(ONE_OUT, size=3)) is Action.NOTHING
+    assert "members not registered: 1" in permit_refusal("a", snapshot, replace(ONE_OUT, size=3))
 
 
-def test_who_was_put_on_standby_by_a_wish_that_the_store_has_lost_comes_back_and_others_stay():
-    snapshot = fleet("a", "b", out=["a"])
-    assert acts(snapshot, "a", "standby", planned=True) is Action.ACTIVE
-    assert acts(snapshot, "a", "standby", planned=False) is Action.NOTHING
+def test_a_member_returns_from_a_requested_standby_whose_request_is_lost_and_from_no_other_standby():
+    snapshot = snapshot_of("a", "b", out=["a"])
+    assert next_action(snapshot, "a", "standby", planned=True) is Action.ACTIVE
+    assert next_action(snapshot, "a", "standby", planned=False) is Action.NOTHING
 
 
-def test_of_two_processes_of_one_name_the_older_touches_nothing():
-    snapshot = fleet("a", "b", member_requests=[request("a")])
-    snapshot.registrations["a"], snapshot.tokens["a"] = (
-        replace(snapshot.registrations["a"], incarnation=2),
-        "newer",
-    )
-    assert acts(snapshot, "a") is Action.YIELD
-    assert step("a", "newest", None, "serving", False, snapshot, ONE).action is Action.CLAIM
-    snapshot.registrations["a"] = replace(
-        snapshot.registrations["a"], incarnation=0
-    )  # a store restored from before
-    assert acts(snapshot, "a") is Action.CLAIM
+def test_of_two_processes_of_one_name_the_older_writes_nothing():
+    snapshot = snapshot_of("a", "b", requests=[new_request("a")])
+    snapshot.registrations["a"] = replace(snapshot.registrations["a"], incarnation=2)
+    snapshot.tokens["a"] = "newer"
+    assert next_action(snapshot, "a") is Action.YIELD
+    assert step("a", "newest", None, "serving", False, snapshot, ONE_OUT).action is Action.CLAIM
+    # A store restored from an earlier backup.
+    snapshot.registrations["a"] = replace(snapshot.registrations["a"], incarnation=0)
+    assert next_action(snapshot, "a") is Action.CLAIM
 
 
 @pytest.mark.parametrize(
-    ("part", "there", "most"),
+    ("limit", "total", "number"),
     [
         (CountOrShare(count=2), 9, 2),
         (CountOrShare(share=0.25), 8, 2),
@@ -123,22 +117,20 @@
         (CountOrShare(share=0.0), 9, 0),
     ],
 )
-def test_limits_are_numbers_or_shares_rounded_down(part, there, most):
-    assert part.of(there) == most
+def test_limits_are_numbers_or_shares_rounded_down(limit, total, number):
+    assert limit.of(total) == number
 
 
 def test_zones_and_regions_have_limits_of_their_own():
-    snapshot = fleet("a", "b", "c", "d", out=["c"])  # a and c stand in z0
+    snapshot = snapshot_of("a", "b", "c", "d", out=["c"])  # a and c are in z0
     bounds = Bounds(zone=CountOrShare(share=0.5))
     assert permit_refusal("a", snapshot, bounds) == "members out in zone z0: 1; limit: 1"
     assert permit_refusal("b", snapshot, bounds) is None
-    assert (
-        permit_refusal("b", snapshot, Bounds(region=CountOrShare(count=1)))
-        == "members out in region r: 1; limit: 1"
-    )
+    in_region = Bounds(region=CountOrShare(count=1))
+    assert permit_refusal("b", snapshot, in_region) == "members out in region r: 1; limit: 1"
 
 
-def test_a_poisoned_record_is_set_aside_and_stops_nothing_else():
+def test_an_unreadable_record_is_reported_and_blocks_nothing_else():
     keys = Keys("g")
     good = records.encode(incarnation=3, token="t", zone="z", region="", later={"x": 1})
     snapshot = records.parse_snapshot(
@@ -160,26 +152,29 @@
     assert snapshot.unreadable == ["seat/b", "word/c", "permit/d", "wish/f", "permit/g", "word/i"]
 
 
-# The protocol explored as explicit states: three members, a limit of one, wishes to and fro.
+# Exploration of the protocol as explicit states: three members, a limit of one out, and a request for standby
+# of each member, which may be withdrawn.
 
 NAMES = ("a", "b", "c")
-MUTANTS = ("roll", "lapse", "untold")
+MUTANTS = ("generation", "lapse", "unreported")
 
 
 def explore(mutant="", deepest=9):
-    """How many states there are within so many moves, and the first with too many out.
+    """Return how many states are reached within so many moves, and the first that breaks the limit.
 
-    A state: per member (alive, phase, planned, incarnation, the snapshot it acts on), and the store (seats,
-    words, permits, wishes, roll). Moves: read the store; act on what was read, however old (a write is
-    refused where its guards fail; its answer may be lost, and then the snapshot stays old); crash; start
-    again; the lapse of a dead one's word; the end of a wish.
+    A state holds, for each member, (alive, phase, planned, incarnation, the store as the member has read it),
+    and the store: (registrations, heartbeats, permits, requests, generation).
+
+    Moves: a member reads the store; it acts on what it has read, however old that is (a write is rejected if
+    one of its comparisons fails; its answer may be lost, and then the member's copy stays old); it crashes;
+    it starts again; the heartbeat of a dead member expires; a request is withdrawn.
     """
     store = (tuple((n, 1) for n in NAMES), tuple((n, 1, "serving") for n in NAMES), (), NAMES, 0)
     start = (tuple((True, "serving", False, 1, store) for _ in NAMES), store)
-    seen, edge = {start}, [start]
+    seen, frontier = {start}, [start]
     for _ in range(deepest):
         after = []
-        for state in edge:
+        for state in frontier:
             for each in moves(state, mutant):
                 if each not in seen:
                     seen.add(each)
@@ -187,102 +182,101 @@
                     out = sum(1 for alive, phase, planned, _, _ in each[0] if planned and phase != "serving")
                     if out > 1:
                         return len(seen), each
-        edge = after
+        frontier = after
     return len(seen), None
 
 
-def known_of(store, mutant):
-    registrations, heartbeats, permits, member_requests, _ = store
+def snapshot_from(store, mutant):
+    registrations, heartbeats, permits, requests, _ = store
     snapshot = Snapshot(
         {n: Registration(n, i, "", "") for n, i in registrations},
         dict(registrations),
         {n: Heartbeat(n, i, p) for n, i, p in heartbeats},
         dict.fromkeys(permits, 1),
-        {n: MemberRequest(n, "standby", 1) for n in member_requests},
+        {n: MemberRequest(n, "standby", 1) for n in requests},
     )
-    if mutant == "lapse":  # a lease that ends frees its holder's permit
+    if mutant == "lapse":  # the end of a lease frees its holder's permit
         snapshot.permits = {n: 1 for n in permits if n in snapshot.heartbeats}
-        snapshot.registrations = {n: s for n, s in snapshot.registrations.items() if n in snapshot.heartbeats}
+        snapshot.registrations = {n: r for n, r in snapshot.registrations.items() if n in snapshot.heartbeats}
     return snapshot
 
 
 def moves(state, mutant):
     members, store = state
-    registrations, heartbeats, permits, member_requests, roll = store
-    for at, (alive, phase, planned, incarnation, snap) in enumerate(members):
+    registrations, heartbeats, permits, requests, generation = store
+    for at, (alive, phase, planned, incarnation, read) in enumerate(members):
         name = NAMES[at]
 
         def put(member, new=store, at=at):
             return (*members[:at], member, *members[at + 1 :]), new
 
         if not alive:
-            mine = tuple(w for w in heartbeats if w[0] != name)
-            if len(mine) < len(heartbeats):
-                yield put(members[at], (registrations, mine, permits, member_requests, roll))
+            remaining = tuple(h for h in heartbeats if h[0] != name)
+            if len(remaining) < len(heartbeats):
+                yield put(members[at], (registrations, remaining, permits, requests, generation))
             if incarnation < 2:
                 yield put(
                     (True, "serving", False, incarnation + 1, store),
                     (
                         tuple((n, incarnation + 1 if n == name else i) for n, i in registrations),
-                        mine,
+                        remaining,
                         permits,
-                        member_requests,
-                        roll + 1,
+                        requests,
+                        generation + 1,
                     ),
                 )
             continue
         if incarnation < 2:
-            yield put((False, phase if planned else "gone", planned, incarnation, snap))
-        if snap != store:
+            yield put((False, phase if planned else "gone", planned, incarnation, read))
+        if read != store:
             yield put((alive, phase, planned, incarnation, store))
-        own = dict(snap[0]).get(name) == dict(registrations).get(name) == incarnation
-        mine = (name, incarnation, phase)
+        own = dict(read[0]).get(name) == dict(registrations).get(name) == incarnation
+        heartbeat = (name, incarnation, phase)
         if (
             own
-            and mine not in snap[1]
-            and next((w for w in heartbeats if w[0] == name), None)
-            == next((w for w in snap[1] if w[0] == name), None)
+            and heartbeat not in read[1]
+            and next((h for h in heartbeats if h[0] == name), None)
+            == next((h for h in read[1] if h[0] == name), None)
         ):
-            told = (*(w for w in heartbeats if w[0] != name), mine)
-            new = (registrations, tuple(sorted(told)), permits, member_requests, roll)
+            reported = (*(h for h in heartbeats if h[0] != name), heartbeat)
+            new = (registrations, tuple(sorted(reported)), permits, requests, generation)
             yield put((alive, phase, planned, incarnation, new), new)
-        snapshot = known_of(snap, mutant)
+        snapshot = snapshot_from(read, mutant)
         if name not in snapshot.registrations:
             continue
-        act = step(name, incarnation, incarnation, phase, planned, snapshot, ONE).action
+        action = step(name, incarnation, incarnation, phase, planned, snapshot, ONE_OUT).action
         if (
-            mutant == "untold"
-            and act is Action.NOTHING
+            mutant == "unreported"
+            and action is Action.NOTHING
             and name in snapshot.member_requests
             and name not in snapshot.permits
-            and permit_refusal(name, snapshot, ONE) is None
+            and permit_refusal(name, snapshot, ONE_OUT) is None
         ):
-            act = Action.ASK
-        if act is Action.ASK:
-            fresh = (mutant == "roll" or roll == snap[4]) and name in member_requests
-            counts = all(w in heartbeats for w in snap[1] if w[0] in serving_members(snapshot))
+            action = Action.ASK
+        if action is Action.ASK:
+            fresh = (mutant == "generation" or generation == read[4]) and name in requests
+            counts = all(h in heartbeats for h in read[1] if h[0] in serving_members(snapshot))
             if own and fresh and counts and name not in permits:
-                new = (registrations, heartbeats, tuple(sorted((*permits, name))), member_requests, roll + 1)
+                new = (
+                    registrations,
+                    heartbeats,
+                    tuple(sorted((*permits, name))),
+                    requests,
+                    generation + 1,
+                )
                 yield put((alive, phase, planned, incarnation, new), new)
-                yield put((alive, phase, planned, incarnation, snap), new)  # the answer was lost
-        elif act is Action.STANDBY:
-            yield put((alive, "standby", True, incarnation, snap))
-        elif act is Action.ACTIVE:
-            yield put((alive, "serving", False, incarnation, snap))
-        elif act is Action.RETURN and own and name in permits:
-            new = (
-                registrations,
-                heartbeats,
-                tuple(p for p in permits if p != name),
-                member_requests,
-                roll + 1,
-            )
+                yield put((alive, phase, planned, incarnation, read), new)  # the answer was lost
+        elif action is Action.STANDBY:
+            yield put((alive, "standby", True, incarnation, read))
+        elif action is Action.ACTIVE:
+            yield put((alive, "serving", False, incarnation, read))
+        elif action is Action.RETURN and own and name in permits:
+            left = tuple(p for p in permits if p != name)
+            new = (registrations, heartbeats, left, requests, generation + 1)
             yield put((alive, phase, planned, incarnation, new), new)
-    for name in member_requests:
-        yield (
-            members,
-            (registrations, heartbeats, permits, tuple(w for w in member_requests if w != name), roll),
-        )
+    for name in requests:
+        left = tuple(r for r in requests if r != name)
+        yield members, (registrations, heartbeats, permits, left, generation)
 
 
 def test_no_state_within_seven_moves_has_more_out_than_the_limit():
