--- a/pulleyroute/fleet/runners.py
+++ b/pulleyroute/fleet/runners.py
@@ -1,8 +1,8 @@
-"""Which runners may be drained, and when a drain is confirmed. Pure.
+"""Which runners may be drained, and when a drain is confirmed. No I/O.
 
-A runner that an operator wants drained is marked once the limits allow it; every member then gives it nothing
-new, and says so once nothing of its own is there. Whoever is silent may still send, and keeps the drain
-unconfirmed.
+A runner whose drain an operator has requested is marked as drained once the limits allow it. Every member
+then gives it no new work, and acknowledges the drain once none of its own jobs is left there. A member
+without a heartbeat may still send work, so its acknowledgement doesn't count and the drain stays unconfirmed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Runner:
-    """A runner as discovery tells of it. `active`: it wants new work."""
+    """A runner as reported by discovery. `active`: it accepts new work."""
 
     name: str
     hall: str
@@ -26,63 +26,67 @@
 
 @dataclass(slots=True, frozen=True)
 class RunnerBounds:
-    """How many of a pool's runners may be out at once; None for no limit. Leaving and gone ones count."""
+    """Limits on a pool's runners out at the same time; None for no limit.
+
+    Runners that are leaving or gone by discovery count as out, like those that are drained.
+    """
 
     pool: CountOrShare | None = None
     hall: CountOrShare | None = None
     kind: CountOrShare | None = None
 
 
-def refusal(name: str, runners: Iterable[Runner], marked: set[str], bounds: RunnerBounds) -> str | None:
-    """Why a runner may not be drained now, as a line for an operator; None if it may."""
-    there = {runner.name: runner for runner in runners}
-    wanted = there.get(name)
-    if wanted is None:
-        return f"{name} is not in the list"
-    out = [runner for runner in there.values() if not runner.active or runner.name in marked]
-    if wanted in out:
-        return None  # it changes no count
-    if len(out) + 1 >= len(there):
-        return f"{name} is the last one that takes work: every class of the pool would be stranded"
-    for where, part, near in (
+def refusal(name: str, runners: Iterable[Runner], drained: set[str], bounds: RunnerBounds) -> str | None:
+    """Return why a runner may not be drained now, as one line for an operator; None if it may."""
+    by_name = {runner.name: runner for runner in runners}
+    candidate = by_name.get(name)
+    if candidate is None:
+        return f"{name} is not in the list of discovery"
+    out = [runner for runner in by_name.values() if not runner.active or runner.name in drained]
+    if candidate in out:
+        return None  # the runner is out already: its drain changes no count
+    if len(out) + 1 >= len(by_name):
+        return f"{name} is the last runner that accepts work: no class of the pool could be served"
+    for scope, limit, in_scope in (
         ("the pool", bounds.pool, lambda each: True),
-        (f"hall {wanted.hall}", bounds.hall, lambda each: each.hall == wanted.hall),
-        (f"kind {wanted.kind}", bounds.kind, lambda each: each.kind == wanted.kind),
+        (f"hall {candidate.hall}", bounds.hall, lambda each: each.hall == candidate.hall),
+        (f"kind {candidate.kind}", bounds.kind, lambda each: each.kind == candidate.kind),
     ):
-        if part is not None:
-            count = sum(1 for each in out if near(each))
-            most = part.of(sum(1 for each in there.values() if near(each)))
+        if limit is not None:
+            count = sum(1 for each in out if in_scope(each))
+            most = limit.of(sum(1 for each in by_name.values() if in_scope(each)))
             if count + 1 > most:
-                return f"{count} of {where} are out, and {most} may be"
+                return f"runners out in {scope}: {count}; limit: {most}"
     return None
 
 
 def coordinator(snapshot: Snapshot) -> str | None:
-    """Whose turn it is to mark what is wanted: the first of those that have spoken within their lease.
+    """Return the member that marks runners as drained: the first by name of those with a heartbeat.
 
-    It spares the others the race; a mark's own guards keep it safe, whoever writes it.
+    This only avoids contention between the members: the comparisons in the transaction keep the limits,
+    whichever member writes.
     """
     return min(snapshot.heartbeats, default=None)
 
 
 def acknowledged(snapshot: Snapshot, pool: str, runner: str, member: str) -> bool:
-    """Whether a member has said that it has nothing there, as the process that it is now."""
-    mark, registration, heartbeat = (
+    """Return whether the process that is now registered as the member has acknowledged a runner's drain."""
+    drain, registration, heartbeat = (
         snapshot.runner_drains.get((pool, runner)),
         snapshot.registrations.get(member),
         snapshot.heartbeats.get(member),
     )
     if (
-        mark is None
+        drain is None
         or registration is None
         or heartbeat is None
         or heartbeat.incarnation != registration.incarnation
     ):
-        # Guards against a member that was cut off after it had said so: started anew, it may not know.
+        # A member that was cut off after its acknowledgement, and then restarted, may not know of the drain.
         return False
-    return snapshot.acks.get((pool, runner, member)) == (registration.incarnation, mark.token)
+    return snapshot.acks.get((pool, runner, member)) == (registration.incarnation, drain.token)
 
 
 def unconfirmed(snapshot: Snapshot, pool: str, runner: str) -> list[str]:
-    """The members that may still send there; none if the drain is confirmed."""
+    """Return the members that may still send work to a drained runner; empty if the drain is confirmed."""
     return [name for name in sorted(snapshot.registrations) if not acknowledged(snapshot, pool, runner, name)]
