--- a/benchmarks/fleet_rest.py
+++ b/benchmarks/fleet_rest.py
@@ -16,7 +16,7 @@
 from pulleyroute.emulator.store import Server
 from pulleyroute.emulator.virtual import VirtualLoop
 from pulleyroute.fleet import records
-from pulleyroute.fleet.agent import Agent, Place
+from pulleyroute.fleet.agent import Agent, MemberSettings
 from pulleyroute.fleet.runners import Runner
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.lifecycle import Phase
@@ -32,7 +32,7 @@
     def standby(self) -> None: ...
     def active(self) -> None: ...
     def leave(self, version: str) -> None: ...
-    def withhold(self, marked: set[records.Place]) -> None: ...
+    def withhold(self, marked: set[records.RunnerKey]) -> None: ...
 
     def runners(self, pool: str) -> list[Runner] | None:
         return None
@@ -52,14 +52,16 @@
     loop = VirtualLoop()
     server = Server(loop)
     agents = [
-        Agent(loop, BufferPool(), [server.address], Place("g", f"m{i}", f"z{i % 3}"), IdleService(), i)
+        Agent(
+            loop, BufferPool(), [server.address], MemberSettings("g", f"m{i}", f"z{i % 3}"), IdleService(), i
+        )
         for i in range(size)
     ]
     for agent in agents:
         agent.start()
 
     def joined() -> bool:
-        return len(agents[0].known.words) == size
+        return len(agents[0].snapshot.heartbeats) == size
 
     if not loop.run_until(joined, 10 * MINUTE):
         raise SystemExit(f"{size} members did not all join within 10 simulated minutes")
--- a/pulleyroute/config/plan.py
+++ b/pulleyroute/config/plan.py
@@ -16,7 +16,7 @@
     PartParser,
     PositiveDuration,
 )
-from pulleyroute.fleet.drains import Part
+from pulleyroute.fleet.drains import CountOrShare
 from pulleyroute.fleet.release import Plan
 
 
@@ -26,7 +26,8 @@
     name: str = ""
     version: Name
     waves: Annotated[
-        list[Part], ListParser(PartParser(), 'a list of numbers and shares such as [1, "25%", "100%"]')
+        list[CountOrShare],
+        ListParser(PartParser(), 'a list of numbers and shares such as [1, "25%", "100%"]'),
     ]
     zones: tuple[str, ...] = ()
     of_version: str = ""
--- a/pulleyroute/config/types.py
+++ b/pulleyroute/config/types.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta, Struct
 
-from pulleyroute.fleet.drains import Part
+from pulleyroute.fleet.drains import CountOrShare
 from pulleyroute.net.http import parse_address
 
 
@@ -97,13 +97,13 @@
 
     expected = 'a number such as 2, or a share such as "25%"'
 
-    def parse(self, value: Any) -> Part:
+    def parse(self, value: Any) -> CountOrShare:
         if isinstance(value, int) and not isinstance(value, bool) and 0 <= value <= 1_000_000:
-            return Part(count=value)
+            return CountOrShare(count=value)
         match = re.fullmatch(r"(\d{1,3}(?:\.\d{1,6})?)%", value) if isinstance(value, str) else None
         if match is None or float(match[1]) > 100:
             raise ValueError
-        return Part(share=float(match[1]) / 100)
+        return CountOrShare(share=float(match[1]) / 100)
 
 
 Duration = Annotated[int, DurationParser()]
@@ -264,14 +264,14 @@
     size: Annotated[int, Meta(ge=0, le=100_000)] = 0  # members in all; 0 for the number of registered ones
     lease: Annotated[int, DurationParser(1_000_000)] = 5_000_000  # in whole seconds
     # The most members that may be out of service at the same time, in the fleet, a zone and a region.
-    out: Annotated[Part | None, PartParser()] = None
-    out_zone: Annotated[Part | None, PartParser()] = None
-    out_region: Annotated[Part | None, PartParser()] = None
+    out: Annotated[CountOrShare | None, PartParser()] = None
+    out_zone: Annotated[CountOrShare | None, PartParser()] = None
+    out_region: Annotated[CountOrShare | None, PartParser()] = None
     least_serving: Annotated[int, Meta(ge=0)] = 1
     # The most runners that may be drained at the same time, in each pool, and in a hall or of a kind in it.
-    runners_out: Annotated[Part | None, PartParser()] = None
-    runners_out_hall: Annotated[Part | None, PartParser()] = None
-    runners_out_kind: Annotated[Part | None, PartParser()] = None
+    runners_out: Annotated[CountOrShare | None, PartParser()] = None
+    runners_out_hall: Annotated[CountOrShare | None, PartParser()] = None
+    runners_out_kind: Annotated[CountOrShare | None, PartParser()] = None
     restart_status: Annotated[int, Meta(ge=1, le=255)] = 75  # the exit status that asks for a restart
     version_file: str = ""  # receives the version to start next, before the process exits with that status
 
--- a/pulleyroute/lab/fleet/rig.py
+++ b/pulleyroute/lab/fleet/rig.py
@@ -25,10 +25,10 @@
 from pulleyroute.emulator.exchange import exchange
 from pulleyroute.emulator.link import Link
 from pulleyroute.fleet import release
-from pulleyroute.fleet.drains import Part
+from pulleyroute.fleet.drains import CountOrShare
 from pulleyroute.fleet.operate import Operator
-from pulleyroute.fleet.records import Refused
-from pulleyroute.fleet.store import Client, Lost, Turned
+from pulleyroute.fleet.records import OperationRefused
+from pulleyroute.fleet.store import Client, StoreRejected, StoreUnavailable
 from pulleyroute.lab.fleet.checker import ClientRequest, Limits, Observations, ReadinessProbe, check
 from pulleyroute.lab.fleet.schedule import (
     AWAIT_OUT,
@@ -492,10 +492,10 @@
 
     def _fault_leader(self, operation: Operation) -> Coroutine[None]:
         """Kill or stop the member that leads, if one does."""
-        with contextlib.suppress(Lost, Turned):
-            known, _ = yield from self.operator.look()
+        with contextlib.suppress(StoreUnavailable, StoreRejected):
+            known, _ = yield from self.operator.read_snapshot()
             for name, token in known.tokens.items():
-                if token == known.lead:
+                if token == known.leader_token:
                     self._apply(replace(operation, kind=operation.kind[:4], target=int(name[1:])))
 
     def _call_later(self, delay: int, action: Callable[[], None]) -> None:
@@ -571,11 +571,11 @@
             try:
                 yield from call()
                 return
-            except Lost as exc:
+            except StoreUnavailable as exc:
                 self.note(f"operator: {operation.kind} {name}: {exc}")
                 if self.loop.now() >= end:
                     return
-            except (Turned, Refused) as exc:
+            except (StoreRejected, OperationRefused) as exc:
                 self.note(f"operator: {operation.kind} {name}: {exc}")
                 return
             yield Wait(until=self.loop.now() + PROBE_INTERVAL_US)
@@ -596,7 +596,7 @@
         plan = release.Plan(
             f"r{operation.at}",
             operation.argument,
-            (Part(count=1), Part(share=0.5), Part(share=1.0)),
+            (CountOrShare(count=1), CountOrShare(share=0.5), CountOrShare(share=1.0)),
             at_once=2,
             soak=5 * SECOND,
             patience=self._spec.wave_timeout,
@@ -604,23 +604,23 @@
         )
         try:
             if operation.kind == "release":
-                yield from self.operator.start(plan)
+                yield from self.operator.start_release(plan)
                 return
             to = {
                 "release-halt": release.State.HALTED,
                 "release-resume": release.State.RUNNING,
-                "release-back": release.State.BACKING,
+                "release-back": release.State.ROLLING_BACK,
             }[operation.kind]
-            yield from self.operator.move(to, "by hand")
-        except (Lost, Turned, Refused) as exc:
+            yield from self.operator.change_release_state(to, "by hand")
+        except (StoreUnavailable, StoreRejected, OperationRefused) as exc:
             self.note(f"operator: {operation.kind}: {exc}")
 
     def _end_release(self) -> Coroutine[None]:
         """Wait until the current release has ended; takes back a halted one."""
         end = self.loop.now() + 2 * RECOVERY_TIMEOUT_US
         while self.loop.now() < end:
-            with contextlib.suppress(Lost, Turned, Refused):
-                known, _ = yield from self.operator.look()
+            with contextlib.suppress(StoreUnavailable, StoreRejected, OperationRefused):
+                known, _ = yield from self.operator.read_snapshot()
                 if known.release is None:
                     return
                 self.observed.released, self.observed.ended = known.release.version, known.release.state
@@ -628,7 +628,7 @@
                     return
                 if known.release.state == "halted":
                     self.note(f"release halted: {known.release.why}")
-                    yield from self.operator.move(release.State.BACKING, "the run ends")
+                    yield from self.operator.change_release_state(release.State.ROLLING_BACK, "the run ends")
             yield Wait(until=self.loop.now() + SECOND // 2)
 
     def _undrain_runner(self, pool: str, runner: str) -> Coroutine[None]:
@@ -642,8 +642,8 @@
         settled = True
         try:
             yield from self.operator.undrain_runner(pool, runner, "as planned")
-        except Lost as exc:
-            settled = not exc.maybe  # otherwise the call may yet take effect at any time
+        except StoreUnavailable as exc:
+            settled = not exc.maybe_applied  # otherwise the call may yet take effect at any time
             raise
         finally:
             if settled:
@@ -658,7 +658,7 @@
         """Record which runners an operator sees as drained, to be compared with the runners' own records."""
         while True:
             requested_at = self.loop.now()
-            with contextlib.suppress(Lost, Turned):
+            with contextlib.suppress(StoreUnavailable, StoreRejected):
                 rows = yield from self.operator.runners()
                 now = self.loop.now()
                 drained = {
@@ -717,16 +717,18 @@
         end = self.loop.now() + RECOVERY_TIMEOUT_US
         while self._agreement:
             try:
-                known, _ = yield from self.operator.look()
-                for name in known.wishes:
-                    with contextlib.suppress(Refused):
+                known, _ = yield from self.operator.read_snapshot()
+                for name in known.member_requests:
+                    with contextlib.suppress(OperationRefused):
                         yield from self.operator.undrain(name, "the run ends")
-                for pool, runner in {*known.wants, *known.marks}:
-                    with contextlib.suppress(Refused):
+                for pool, runner in {*known.runner_requests, *known.runner_drains}:
+                    with contextlib.suppress(OperationRefused):
                         yield from self._undrain_runner(pool, runner)
-                if self._all_ready() and not (known.wishes or known.permits or known.wants or known.marks):
+                if self._all_ready() and not (
+                    known.member_requests or known.permits or known.runner_requests or known.runner_drains
+                ):
                     break
-            except (Lost, Turned):
+            except (StoreUnavailable, StoreRejected):
                 pass
             if self.loop.now() > end:
                 break
@@ -736,8 +738,8 @@
         self.observed.left_out = [member.number for member in self.members if not member.ready]
         self.observed.versions = [member.version for member in self.members]
         if self._agreement:
-            with contextlib.suppress(Lost, Turned):
-                known, _ = yield from self.operator.look()
+            with contextlib.suppress(StoreUnavailable, StoreRejected):
+                known, _ = yield from self.operator.read_snapshot()
                 self.observed.left_out += [int(name[1:]) for name in known.permits]
         self._load_stopped = True
         with contextlib.suppress(TimeoutError):
@@ -781,9 +783,9 @@
     def _wait_until_joined(self) -> Coroutine[None]:
         end = self.loop.now() + RECOVERY_TIMEOUT_US
         while self.loop.now() < end:
-            with contextlib.suppress(Lost, Turned):
-                known, _ = yield from self.operator.look()
-                if len(known.words) == self._spec.members:
+            with contextlib.suppress(StoreUnavailable, StoreRejected):
+                known, _ = yield from self.operator.read_snapshot()
+                if len(known.heartbeats) == self._spec.members:
                     return
             yield Wait(until=self.loop.now() + SECOND // 10)
         raise TimeoutError("not all members joined the fleet in time")
--- a/pulleyroute/service/joining.py
+++ b/pulleyroute/service/joining.py
@@ -6,7 +6,7 @@
 
 from pulleyroute import __version__
 from pulleyroute.config import Config
-from pulleyroute.fleet.agent import Agent, Place
+from pulleyroute.fleet.agent import Agent, MemberSettings
 from pulleyroute.fleet.drains import Bounds
 from pulleyroute.fleet.runners import RunnerBounds
 from pulleyroute.net.buffers import BufferPool
@@ -18,7 +18,7 @@
     """Start the fleet agent and return it. The service keeps serving whatever happens to the agent."""
     fleet = config.fleet
     assert fleet is not None
-    place = Place(
+    place = MemberSettings(
         fleet.group,
         fleet.member or config.name,
         fleet.zone,
@@ -31,6 +31,6 @@
     # The seed of the configuration is not used, because two processes started from the same file must choose
     # different tokens for themselves.
     agent = Agent(loop, BufferPool(), fleet.store, place, service, random.SystemRandom().getrandbits(64))
-    service.on_phase_change = agent.moved
+    service.on_phase_change = agent.on_phase_change
     agent.start()
     return agent
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -107,29 +107,31 @@
     "race on a permit": (
         ALL_AT_ONCE,
         """
-agent.unchanged = lambda item: {"key": "YQ==", "target": "VERSION", "version": "-1", "result": "GREATER"}
+agent.compare_unchanged = lambda item: {
+    "key": "YQ==", "target": "VERSION", "version": "-1", "result": "GREATER"
+}
 """,
     ),
     # The end of a lease frees the permit of the member.
     "permit of an ended lease": (
         STALLED,
         """
-def picture(seats, words, permits, whole=drains.picture):
+def picture(seats, words, permits, whole=drains.member_statuses):
     return whole([seat for seat in seats if seat.name in words], words, permits)
-drains.picture = picture
-drains.Bounds.unseen = lambda self, known: 0
+drains.member_statuses = picture
+drains.Bounds.unregistered = lambda self, known: 0
 """,
     ),
     # A member counts as out only if it holds a permit, so a crashed one does not count.
     "crashed members not counted": (
         STALLED,
         """
-from pulleyroute.fleet.members import Standing
+from pulleyroute.fleet.members import MemberStatus
 def picture(seats, words, permits):
-    return {seat.name: Standing.PERMITTED if seat.name in permits and seat.name in words else Standing.SERVING
-            for seat in seats}
-drains.picture = picture
-drains.counted = lambda known: sorted(known.words)
+    return {seat.name: MemberStatus.PERMITTED if seat.name in permits and seat.name in words
+            else MemberStatus.SERVING for seat in seats}
+drains.member_statuses = picture
+drains.serving_members = lambda known: sorted(known.heartbeats)
 """,
     ),
     # A member reports a runner as drained before its last job there has ended.
