--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -46,7 +46,7 @@
             yield Wait(listener.fileno(), READABLE)
             try:
                 sock, _ = listener.accept()
-            except BlockingIOError:  # the connection is gone again, although the socket was readable
+            except BlockingIOError:  # a readable listener does not guarantee a connection
                 continue
             sock.setblocking(False)
             stream = Stream(self.loop, self.pool, sock, server=True)
