--- a/pulleyroute/grpc/front.py
+++ b/pulleyroute/grpc/front.py
@@ -1,5 +1,4 @@
-"""The downstream side of gRPC: listener, client connections, routing of calls to hosts, health, and the
-drain."""
+"""The client side of gRPC: accepts connections, routes calls to the hosts of pools, and drains."""
 
 from __future__ import annotations
 
@@ -26,18 +25,23 @@
 from pulleyroute.net.requests import Request
 from pulleyroute.net.tls import Tls
 
-OVERLOAD_RETRY_AFTER_US = 1_000_000
-UNREAD_CHECK_INTERVAL_US = 1_000_000  # between two looks at answers that have not been read
+OVERLOAD_RETRY_AFTER_US = 1_000_000  # pushback for a call that exceeds a limit of the listener
+UNREAD_CHECK_INTERVAL_US = 1_000_000
 DEFAULT_DRAIN_US = 30_000_000
-# One count for all listeners of the process: guards against two calls of one id at a pool, where a listener
-# that drains and the one that follows it have the same name.
+# All listeners of the process share one counter. A draining listener and its successor have the same name, so
+# with a counter each, two calls at a pool could get the same id.
 _CALL_NUMBERS = itertools.count(1)
 
 
 @dataclass(slots=True, frozen=True)
 class FrontLimits:
-    """What a listener takes: `connections` and `calls` at once, bytes a message, bytes kept for resends a
-    call (`replay`) and in all (`memory`); `drain` in microseconds, from the first GOAWAY to the end."""
+    """The limits of a listener.
+
+    `connections` and `calls` limit how many are open at once, `message_bytes` the size of each message. At
+    most `replay` bytes of a request are kept for a retry, and `memory` bytes of all requests. `drain` is the
+    time from the first GOAWAY until the remaining calls are ended, in microseconds. `connection` holds the
+    limits of each connection.
+    """
 
     connections: int = 1000
     calls: int = 10_000
@@ -50,17 +54,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """Where a route leads: a pool's host, and a class by its number there."""
+    """The target of a route: the host of a pool, and the number of a class in its settings."""
 
     host: Host
     job_class: int
-    default_timeout_us: int  # microseconds, for a call that names no time of its own
+    default_timeout_us: int  # for a call without `grpc-timeout`
     name: str = ""
     class_name: str = ""
 
 
 class Front:
-    """Owns a listener, its accepted connections and the calls on them."""
+    """Owns a listener, its accepted connections and their calls."""
 
     def __init__(
         self,
@@ -82,28 +86,31 @@
         self.connections: set[Http2Connection] = set()
         self._metrics = metrics or Metrics()
         self._listener = Listener(
-            loop, f"listener {name}", self._has_capacity, self._close_idle_connection, self._accept
+            loop, f"listener {name}", self._ensure_room, self._close_idle_connection, self._accept
         )
-        self._unread_responses: dict[
-            Stream, int
-        ] = {}  # ended calls whose answers wait for their clients, until when
+        # Streams of ended calls whose clients have not read the whole response, with the time of their reset.
+        self._unread_responses: dict[Stream, int] = {}
         self.stopping = False
 
     def listen(self, address: tuple[str, int]) -> None:
+        """Bind to an address and accept connections; raises OSError if the address is not available."""
         self._listener.listen(address)
 
     @property
     def address(self) -> tuple[str, int]:
+        """The address that the listener is bound to."""
         return self._listener.address
 
     def apply(self, routes: Routes[Target], limits: FrontLimits, context: ssl.SSLContext | None) -> None:
-        """Other routes, limits and certificate from now on; calls and connections that are open go on."""
+        """Apply new routes, limits and TLS context. Open calls and connections continue."""
         self.routes, self.limits, self.context = routes, limits, context
         self.ledger.limit = limits.memory
 
     def stop(self) -> None:
-        """No new connection; GOAWAY on those there are; their calls finish, for `limits.drain` at the
-        longest."""
+        """Drain: accept no more connections, send GOAWAY on the open ones, and let their calls finish.
+
+        Calls that are still open after `limits.drain` are ended.
+        """
         if self.stopping:
             return
         self.stopping = True
@@ -113,7 +120,7 @@
         self._loop.call_at(self._loop.now() + self.limits.drain, self._end_calls)
 
     def _end_calls(self) -> None:
-        """The drain's time is over: what still runs gets its one ending now."""
+        """End the calls that are still open when the time for the drain is over."""
         for call in list(self.calls):
             call.fail(Status.UNAVAILABLE, "the dispatcher stops: it may have run", discard_pending=True)
         self._loop.call_at(self._loop.now() + 100_000, self._close_connections)
@@ -124,18 +131,19 @@
 
     @property
     def idle(self) -> bool:
+        """Whether no connection is open."""
         return not self.connections
 
     # Accepting
 
-    def _has_capacity(self) -> bool:
+    def _ensure_room(self) -> bool:
         return len(self.connections) < self.limits.connections or self._close_idle_connection()
 
     def _close_idle_connection(self) -> bool:
-        """Make room: one that carries no call goes."""
+        """Close a connection that carries no call; returns whether there was one."""
         for connection in self.connections:
             if not len(connection):
-                connection.close("room was needed")
+                connection.close("idle connection closed to free its place")
                 return True
         return False
 
@@ -232,16 +240,17 @@
             )
             if len(self._unread_responses) == 1:
                 self._loop.call_at(self._loop.now() + UNREAD_CHECK_INTERVAL_US, self._check_unread_responses)
-        if log.debugging:  # guards the hot path: a line that nobody reads costs as much as a head
+        if log.debugging:  # a discarded log record would cost as much as parsing the headers
             logger.bind(
                 event="call.ended", path=call.head.path.decode(errors="replace"), status=status.name
             ).debug("call ended")
 
     def _check_unread_responses(self) -> None:
-        """Forget the answers that have been read, end those that nobody reads.
+        """Reset the streams whose responses the clients have not read in time.
 
-        Guards the memory twice: against a client that never reads to the end, and against keeping each call
-        that has ended until its deadline, which a timer of its own would do.
+        A client that never reads to the end would otherwise keep its response in memory for ever. All streams
+        share this periodic check, because a timer for each would keep every ended call in memory until its
+        deadline.
         """
         now = self._loop.now()
         for stream, deadline in list(self._unread_responses.items()):
@@ -255,7 +264,7 @@
 
 
 class DiscardingHandler:
-    """Owns a stream that has its answer: what still comes is read and dropped."""
+    """Owns a stream whose response has been sent. Discards what the client still sends."""
 
     def __init__(self, stream: Stream) -> None:
         self._stream = stream
@@ -263,6 +272,7 @@
     def headers(self, headers: Headers, ended: bool) -> None: ...
 
     def data(self, data: bytes) -> None:
+        """Discard the data, and let the client send more."""
         self._stream.consumed(len(data))
 
     def ended(self, trailers: Headers) -> None: ...
