--- a/tests/grpc/scene.py
+++ b/tests/grpc/scene.py
@@ -1,5 +1,5 @@
-"""A gRPC dispatcher between scripted HTTP/2 peers on loopback, on a clock that stands still until a test
-moves it."""
+"""A gRPC dispatcher between scripted HTTP/2 peers on the loopback interface, with a clock that only the test
+advances."""
 
 from __future__ import annotations
 
@@ -25,68 +25,70 @@
 
 
 class Stream:
-    """What one end has seen of a stream."""
+    """A stream as one peer sees it: what it has received, and methods to send."""
 
     def __init__(self, peer: Peer, number: int) -> None:
         self.peer, self.id = peer, number
-        self.heads: list[list[tuple[str, str]]] = []
+        self.header_lists: list[list[tuple[str, str]]] = []
         self.body = b""
         self.ended = False
         self.reset: int | None = None
 
     @property
-    def last(self) -> dict[str, str]:
-        """The trailers, or the head that stands for them."""
-        return dict(self.heads[-1])
+    def trailers(self) -> dict[str, str]:
+        """The trailers, or the headers of a trailers-only response."""
+        return dict(self.header_lists[-1])
 
-    def head(self) -> dict[str, str]:
-        self.peer.loop.until(lambda: self.peer.pull() and self.heads)
-        return dict(self.heads[0])
+    def wait_for_headers(self) -> dict[str, str]:
+        """Wait for the first headers, and return them."""
+        self.peer.loop.until(lambda: self.peer.pull() and self.header_lists)
+        return dict(self.header_lists[0])
 
     def wait_for_end(self) -> Stream:
-        """Wait until the other side has ended, well or not."""
+        """Wait until the other side has ended or reset the stream."""
         self.peer.loop.until(lambda: self.peer.pull() and (self.ended or self.reset is not None))
         return self
 
-    def broken(self) -> int:
-        """Wait for RST_STREAM: its code."""
+    def wait_for_reset(self) -> int:
+        """Wait for RST_STREAM, and return its code."""
         self.peer.loop.until(lambda: self.peer.pull() and self.reset is not None)
         assert self.reset is not None
         return self.reset
 
     def status(self) -> int:
-        return int(self.wait_for_end().last["grpc-status"])
+        """Wait for the end of the response, and return its gRPC status."""
+        return int(self.wait_for_end().trailers["grpc-status"])
 
-    def send(self, data: bytes = b"", end: bool = False) -> Stream:
+    def send_data(self, data: bytes = b"", end: bool = False) -> Stream:
         size = 16_384
         for at in range(0, max(1, len(data)), size):
             self.peer.h2.send_data(self.id, data[at : at + size], end and at + size >= len(data))
         self.peer.flush()
         return self
 
-    def headers(self, headers: list[tuple[str, str]], end: bool = False) -> Stream:
+    def send_headers(self, headers: list[tuple[str, str]], end: bool = False) -> Stream:
         self.peer.h2.send_headers(self.id, headers, end)
         self.peer.flush()
         return self
 
     def answer(self, *messages: bytes, status: int = 0, **trailers: str) -> Stream:
-        """A whole answer: head, messages, trailers."""
-        self.headers(HEAD)
+        """Send a complete response: headers, messages and trailers."""
+        self.send_headers(HEAD)
         for message in messages:
-            self.send(framed(message))
-        return self.headers([("grpc-status", str(status)), *trailers.items()], end=True)
+            self.send_data(framed(message))
+        return self.send_headers([("grpc-status", str(status)), *trailers.items()], end=True)
 
-    def only(self, status: int, *trailers: tuple[str, str]) -> Stream:
-        """A trailers-only answer."""
-        return self.headers([*HEAD, ("grpc-status", str(status)), *trailers], end=True)
+    def send_trailers_only(self, status: int, *trailers: tuple[str, str]) -> Stream:
+        """Send a trailers-only response."""
+        return self.send_headers([*HEAD, ("grpc-status", str(status)), *trailers], end=True)
 
-    def cut(self, code: int) -> None:
+    def send_reset(self, code: int) -> None:
         self.peer.h2.reset_stream(self.id, code)
         self.peer.flush()
 
 
 class Peer:
-    """A scripted end of one HTTP/2 connection."""
+    """A scripted peer on one HTTP/2 connection."""
 
     def __init__(
         self, loop: ManualClockLoop, sock: socket.socket, client: bool, settings: dict | None = None
@@ -107,28 +109,30 @@
             self.h2.local_settings.acknowledge()
         self.h2.initiate_connection()
         self.streams: dict[int, Stream] = {}
-        self.goaways: list[tuple[int, int]] = []  # last id, code
-        self.gone = False
-        self.reads = True  # gives windows back
-        self.out = b""
+        self.goaways: list[tuple[int, int]] = []  # last stream id, code
+        self.gone = False  # the connection is closed
+        self.returns_windows = True  # sends WINDOW_UPDATE for the data that it receives
+        self.unsent = b""
         self.flush()
 
-    def goaway(self, last: int) -> None:
-        """A graceful one: what runs goes on."""
+    def send_goaway(self, last_id: int) -> None:
+        """Send a GOAWAY without an error, after which open streams continue."""
         self.flush()
-        self.sock.send(GoAwayFrame(0, last_stream_id=last, error_code=0).serialize())
+        self.sock.send(GoAwayFrame(0, last_stream_id=last_id, error_code=0).serialize())
 
     def flush(self) -> None:
-        self.out += self.h2.data_to_send()
+        """Send as much of the pending output as the socket takes."""
+        self.unsent += self.h2.data_to_send()
         try:
-            while self.out:
-                self.out = self.out[self.sock.send(self.out) :]
+            while self.unsent:
+                self.unsent = self.unsent[self.sock.send(self.unsent) :]
         except BlockingIOError:
             pass
         except OSError:
             self.gone = True
 
     def pull(self) -> bool:
+        """Read and handle what has arrived. Always returns True, so that it can stand in a condition."""
         self.flush()
         while not self.gone:
             try:
@@ -141,11 +145,11 @@
                 self.gone = True
                 break
             for event in self.h2.receive_data(data):
-                self._take(event)
+                self._handle_event(event)
         self.flush()
         return True
 
-    def _take(self, event: object) -> None:
+    def _handle_event(self, event: object) -> None:
         number = getattr(event, "stream_id", None)
         if isinstance(event, h2.events.ConnectionTerminated):
             self.goaways.append((event.last_stream_id, int(event.error_code)))
@@ -155,10 +159,10 @@
         if isinstance(
             event, h2.events.RequestReceived | h2.events.ResponseReceived | h2.events.TrailersReceived
         ):
-            stream.heads.append(event.headers)
+            stream.header_lists.append(event.headers)
         elif isinstance(event, h2.events.DataReceived):
             stream.body += event.data
-            if self.reads:
+            if self.returns_windows:
                 self.h2.acknowledge_received_data(event.flow_controlled_length, number)
         elif isinstance(event, h2.events.StreamEnded):
             stream.ended = True
@@ -175,7 +179,7 @@
     ) -> Stream:
         number = self.h2.get_next_available_stream_id()
         stream = self.streams[number] = Stream(self, number)
-        stream.headers(
+        stream.send_headers(
             [
                 (":method", "POST"),
                 (":scheme", "http"),
@@ -188,26 +192,29 @@
             ]
         )
         if message is not None:
-            stream.send(framed(message), end)
+            stream.send_data(framed(message), end)
         return stream
 
 
 class ScriptedInstance:
-    """A scripted instance."""
+    """A scripted instance, which accepts connections from the dispatcher."""
 
     def __init__(self, loop: ManualClockLoop, settings: dict | None = None) -> None:
         self.loop, self.settings = loop, settings
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.sock.setblocking(False)
         self.peers: list[Peer] = []
-        self._taken: set[Stream] = set()
+        self._taken: set[Stream] = set()  # already returned to the test
 
     def pull(self) -> list[Stream]:
+        """Handle what has arrived, and return the streams that the test has not been given yet."""
         with contextlib.suppress(BlockingIOError):
             self.peers.append(Peer(self.loop, self.sock.accept()[0], False, self.settings))
         for peer in self.peers:
             peer.pull()
-        return [s for peer in self.peers for s in peer.streams.values() if s.heads and s not in self._taken]
+        return [
+            s for peer in self.peers for s in peer.streams.values() if s.header_lists and s not in self._taken
+        ]
 
     def close(self) -> None:
         self.sock.close()
@@ -216,14 +223,17 @@
 
 
 class Scene:
-    """A front, a host and a back; classes `safe` under /shop.Look, `charge` (never twice) under /shop.Pay."""
+    """A front, a host, a transport and scripted instances.
+
+    /shop.Look is routed to the class `safe`, /shop.Pay to the class `charge`, which must never run twice.
+    """
 
     def __init__(
         self,
-        boxes: int = 1,
+        instances: int = 1,
         limits: FrontLimits | None = None,
-        box: dict | None = None,
-        back: Limits | None = None,
+        instance_settings: dict | None = None,
+        transport_limits: Limits | None = None,
         attempts: int = 4,
         context=None,
         slots: int = 10,
@@ -243,10 +253,12 @@
             report_source=ReportSource.ANSWERS,
         )
         self.discovery = DiscoveryClient(self.loop, pool, ("127.0.0.1", 9), self.settings, 0)
-        self.back = GrpcTransport(self.loop, pool, self.discovery, self.settings, back or Limits(), slots)
-        self.host = self.back.host = Host(self.loop, self.settings, 1, self.discovery, self.back)
-        self.boxes = {f"s-{i}": ScriptedInstance(self.loop, box) for i in range(boxes)}
-        self.list(*self.boxes)
+        self.transport = GrpcTransport(
+            self.loop, pool, self.discovery, self.settings, transport_limits or Limits(), slots
+        )
+        self.host = self.transport.host = Host(self.loop, self.settings, 1, self.discovery, self.transport)
+        self.instances = {f"s-{i}": ScriptedInstance(self.loop, instance_settings) for i in range(instances)}
+        self.set_members(*self.instances)
         routes = Routes(
             [
                 (Match("shop.Look"), Target(self.host, 0, 10 * SECOND)),
@@ -257,7 +269,8 @@
         self.front = Front(self.loop, pool, routes, limits or FrontLimits(), self.health, context)
         self.front.listen(("127.0.0.1", 0))
 
-    def list(self, *names: str, phase: str = "active") -> None:
+    def set_members(self, *names: str, phase: str = "active") -> None:
+        """Set the list of instances as discovery would report it."""
         self.discovery.load_known(
             {
                 "revision": 1,
@@ -265,7 +278,7 @@
                 "members": [
                     {
                         "id": name,
-                        "host_port": "{}:{}".format(*self.boxes[name].sock.getsockname()),
+                        "host_port": "{}:{}".format(*self.instances[name].sock.getsockname()),
                         "phase": phase,
                     }
                     for name in names
@@ -279,48 +292,48 @@
     def call(self, *args, **kwargs) -> Stream:
         return self.client().call(*args, **kwargs)
 
-    def arrived(self) -> Stream:
-        """The next call that reaches any box."""
+    def next_call(self) -> Stream:
+        """Wait for the next call that reaches an instance, while the clock stands still."""
 
         def found():
-            for box in self.boxes.values():
-                for stream in box.pull():
-                    box._taken.add(stream)
+            for instance in self.instances.values():
+                for stream in instance.pull():
+                    instance._taken.add(stream)
                     return stream
             return None
 
         return self.loop.until(found)
 
-    def again(self) -> Stream:
-        """The next call that reaches a box, time passing until it does."""
+    def wait_for_retry(self) -> Stream:
+        """Advance the clock until a call reaches an instance, and return that call."""
         for _ in range(3):
             self.loop.settle()
         for _ in range(1000):
             self.loop.skip(10_000)
-            for box in self.boxes.values():
-                for stream in box.pull():
-                    box._taken.add(stream)
+            for instance in self.instances.values():
+                for stream in instance.pull():
+                    instance._taken.add(stream)
                     return stream
-        raise AssertionError("it was not sent again")
+        raise AssertionError("the call was not sent again")
 
-    def untouched(self) -> bool:
-        """Whether no further call reaches a box though time passes."""
+    def receives_no_call(self) -> bool:
+        """Whether no further call reaches an instance within 0.6 s of the test's clock."""
         for _ in range(3):
             self.loop.settle()
         for _ in range(30):
             self.loop.skip(20_000)
-            if any(box.pull() for box in self.boxes.values()):
+            if any(instance.pull() for instance in self.instances.values()):
                 return False
         return True
 
-    def done(self) -> bool:
-        """Nothing is left anywhere: no call, no attempt, no held byte."""
+    def released(self) -> bool:
+        """Whether no call, request, attempt or buffered byte is left."""
         for _ in range(5):
             self.loop.settle()
         left = (
             len(self.front.calls)
             + self.host.tracked_requests
-            + self.back.open_attempts
+            + self.transport.open_attempts
             + self.front.ledger.held
         )
         return left == 0
--- a/tests/grpc/test_floods.py
+++ b/tests/grpc/test_floods.py
@@ -39,7 +39,7 @@
 
 def rapid_reset(peer):
     for _ in range(1300):
-        peer.call(SAFE, None).cut(8)
+        peer.call(SAFE, None).send_reset(8)
         peer.pull()
         peer.loop.turn(0)
 
@@ -64,7 +64,7 @@
     scene = Scene()
     quiet, loud = scene.client(), scene.client()
     call = quiet.call(SAFE)
-    seen = scene.arrived().wait_for_end()
+    seen = scene.next_call().wait_for_end()
     scene.loop.settle()
     FLOODS[name](loud)
     scene.loop.until(lambda: loud.pull() and (loud.gone or loud.goaways))
@@ -82,11 +82,11 @@
     client = scene.client()
     calls = [client.call(SAFE, b"", timeout="60S") for _ in range(30)]
     for _ in calls:
-        scene.arrived().headers([(":status", "200"), ("content-type", "application/grpc")])
+        scene.next_call().send_headers([(":status", "200"), ("content-type", "application/grpc")])
     for call in calls:
-        call.head()
-        call.cut(8)
-    scene.loop.until(scene.done)
+        call.wait_for_headers()
+        call.send_reset(8)
+    scene.loop.until(scene.released)
     assert not client.gone and not client.goaways
 
 
@@ -138,15 +138,15 @@
     scene = Scene()
     client = scene.client()
     call = client.call(SAFE, None, *bad)
-    assert call.broken() == 1
-    assert scene.untouched() and scene.done()
+    assert call.wait_for_reset() == 1
+    assert scene.receives_no_call() and scene.released()
     # An instance's trailers are looked at too.
     call = client.call(SAFE)
-    seen = scene.arrived().wait_for_end()
-    seen.headers([(":status", "200"), ("content-type", "application/grpc")])
+    seen = scene.next_call().wait_for_end()
+    seen.send_headers([(":status", "200"), ("content-type", "application/grpc")])
     seen.peer.h2.send_headers(seen.id, [("grpc-status", "0"), *bad], end_stream=True)
     seen.peer.flush()
-    assert call.status() == Status.INTERNAL and scene.done()
+    assert call.status() == Status.INTERNAL and scene.released()
 
 
 def test_who_connects_and_says_nothing_is_let_go():
@@ -175,10 +175,10 @@
     scene = Scene(limits=FrontLimits(connections=2))
     busy, idle = scene.client(), scene.client()
     call = busy.call(SAFE)
-    seen = scene.arrived().wait_for_end()
+    seen = scene.next_call().wait_for_end()
     scene.loop.until(lambda: len(scene.front.connections) == 2)
     third = scene.client().call(SAFE)
-    other = scene.arrived().wait_for_end()
+    other = scene.next_call().wait_for_end()
     assert scene.loop.until(lambda: idle.pull() and idle.gone)
     for each in (seen, other):
         each.answer(b"ok")
@@ -188,17 +188,17 @@
 def test_a_reset_of_a_settings_window_cannot_hold_more_than_the_window():
     """SETTINGS_INITIAL_WINDOW_SIZE of 0 stalls a call; it ends with its deadline and holds a window at
     most."""
-    scene = Scene(back=Limits(window=16_384))
+    scene = Scene(transport_limits=Limits(window=16_384))
     call = scene.client({4: 0}).call(SAFE, timeout="2S")
-    seen = scene.arrived().wait_for_end()
-    seen.headers([(":status", "200"), ("content-type", "application/grpc")])
+    seen = scene.next_call().wait_for_end()
+    seen.send_headers([(":status", "200"), ("content-type", "application/grpc")])
     room = seen.peer.h2.local_flow_control_window(seen.id)
-    seen.send(b"\0" * min(room, 16_384))
+    seen.send_data(b"\0" * min(room, 16_384))
     scene.loop.until(lambda: [c for c in scene.front.calls if c.stream.pending_bytes])
     held = max(c.stream.pending_bytes for c in scene.front.calls)
     assert held <= 65_535 and not call.ended
     scene.loop.skip(3 * SECOND)
-    assert call.status() == Status.DEADLINE_EXCEEDED and scene.done()
+    assert call.status() == Status.DEADLINE_EXCEEDED and scene.released()
 
 
 def test_a_message_of_no_bytes_and_one_of_4_mib_pass():
@@ -211,14 +211,14 @@
             client.pull()
             room = min(client.h2.local_flow_control_window(call.id), 16_384)
             if room:
-                call.send(data[:room])
+                call.send_data(data[:room])
                 data = data[room:]
             scene.loop.turn(0)
-            for box in scene.boxes.values():
-                box.pull()
+            for instance in scene.instances.values():
+                instance.pull()
         call.peer.h2.end_stream(call.id)
         client.flush()
-        seen = scene.arrived().wait_for_end()
+        seen = scene.next_call().wait_for_end()
         assert seen.body == framed(message)
         seen.answer(b"")
-        assert call.status() == 0 and scene.done()
+        assert call.status() == 0 and scene.released()
