--- a/tests/grpc/scene.py
+++ b/tests/grpc/scene.py
@@ -1,5 +1,4 @@
-"""A gRPC dispatcher between scripted HTTP/2 peers on the loopback interface, with a clock that only the test
-advances."""
+"""A gRPC dispatcher between scripted HTTP/2 peers on loopback, with a clock that only the test advances."""
 
 from __future__ import annotations
 
@@ -177,6 +176,7 @@
         timeout: str = "5S",
         end: bool = True,
     ) -> Stream:
+        """Start a call on a new stream."""
         number = self.h2.get_next_available_stream_id()
         stream = self.streams[number] = Stream(self, number)
         stream.send_headers(
@@ -287,9 +287,11 @@
         )
 
     def client(self, settings: dict | None = None) -> Peer:
+        """Open a client connection to the front."""
         return Peer(self.loop, socket.create_connection(self.front.address), True, settings)
 
     def call(self, *args, **kwargs) -> Stream:
+        """Start a call on a client connection of its own."""
         return self.client().call(*args, **kwargs)
 
     def next_call(self) -> Stream:
--- a/tests/grpc/test_calls.py
+++ b/tests/grpc/test_calls.py
@@ -1,5 +1,7 @@
-"""Calls through the dispatcher, peer by scripted peer: endings, resends, deadlines, cancels, drains,
-windows."""
+"""Calls through the dispatcher between scripted peers.
+
+Covers endings, retries, deadlines, cancellation, draining and flow control.
+"""
 
 import gc
 import socket
@@ -38,7 +40,7 @@
 @pytest.mark.parametrize("status", list(Status))
 @pytest.mark.parametrize("path", [SAFE, CHARGE])
 def test_each_status_is_mapped_as_the_table_says(status, path):
-    """Trailers-only, so that nothing is committed: only what is worth another instance goes out again."""
+    """A trailers-only response does not commit the call, so it is retried if its status allows that."""
     scene = Scene(instances=2)
     call = scene.call(path)
     seen = scene.next_call()
@@ -137,16 +139,17 @@
 
 
 @pytest.mark.parametrize("pushback, again", [("700", True), ("-1", False), ("x", False), ("99999", False)])
-def test_an_instances_pushback_is_heeded(pushback, again):
+def test_an_instances_pushback_is_obeyed(pushback, again):
     scene = Scene(instances=2)
     call = scene.call(SAFE)
     scene.next_call().wait_for_end().send_trailers_only(14, ("grpc-retry-pushback-ms", pushback))
-    if not again:  # answered at once: it was given up
+    if not again:  # answered at once, without a retry
         assert call.status() == 14 and call.trailers["grpc-retry-pushback-ms"] == pushback
         return
     scene.loop.settle()
     scene.loop.skip(690 * MS)
-    assert not any(instance.pull() for instance in scene.instances.values())  # never before it
+    # The call is not retried before the pushback has passed.
+    assert not any(instance.pull() for instance in scene.instances.values())
     scene.wait_for_retry().wait_for_end().answer(b"x")
     assert call.status() == 0 and scene.released()
 
@@ -167,11 +170,11 @@
 
 
 def test_trailers_that_cross_the_deadline_change_nothing():
-    """The instance answers at the same moment: the client has one ending, and it is the deadline's."""
+    """If the instance's response arrives as the deadline expires, the client gets exactly one status."""
     scene = Scene()
     call = scene.call(SAFE, timeout="500m")
     seen = scene.next_call().wait_for_end()
-    scene.loop.time += 480 * MS  # the timer is due, and the answer is on its way
+    scene.loop.time += 480 * MS  # the timer is due, and the response is in transit
     seen.answer(b"late")
     scene.loop._timers and scene.loop.turn(0)
     scene.loop.skip(600 * MS)
@@ -182,7 +185,7 @@
     assert scene.released()
 
 
-def test_a_deadline_of_nothing_is_answered_and_sent_nowhere():
+def test_a_deadline_of_zero_is_answered_and_sent_nowhere():
     scene = Scene()
     assert scene.call(SAFE, timeout="0m").status() == Status.DEADLINE_EXCEEDED
     assert scene.receives_no_call()
@@ -245,7 +248,7 @@
     scene = Scene(transport_limits=Limits(ping_after=SECOND, ping_timeout=SECOND))
     call = scene.call(CHARGE, timeout="9S")
     seen = scene.next_call().wait_for_end()
-    assert seen.peer  # from here on nobody reads there
+    assert seen.peer  # from now on the instance reads nothing, and so answers no PING
     scene.loop.skip(3 * SECOND)
     assert call.status() == Status.UNAVAILABLE and scene.released()
 
@@ -274,13 +277,13 @@
     scene.front.stop()
     scene.loop.until(lambda: client.pull() and client.goaways)
     assert client.goaways == [(2**31 - 1, 0)]
-    crossing = client.call(CHARGE)  # on its way as the warning came: served
+    crossing = client.call(CHARGE)  # in transit when the first GOAWAY arrived, so it is served
     other = scene.next_call().wait_for_end()
     scene.loop.skip(SECOND)
     scene.loop.until(lambda: client.pull() and len(client.goaways) == 2)
     assert client.goaways[1] == (crossing.id, 0)
     late = client.call(CHARGE)
-    assert late.wait_for_reset() == 7  # REFUSED_STREAM: it never ran
+    assert late.wait_for_reset() == 7  # REFUSED_STREAM: the call never ran
     seen.answer(b"1")
     other.answer(b"2")
     assert call.status() == 0 and crossing.status() == 0
@@ -334,7 +337,7 @@
         (("x-large", "a" * 20_000), Status.RESOURCE_EXHAUSTED),
     ],
 )
-def test_heads_that_can_t_be_used_get_a_clear_status(extra, status):
+def test_invalid_request_headers_get_a_clear_status(extra, status):
     scene = Scene()
     call = scene.call(SAFE, b"hi", extra)
     assert call.status() == status and scene.receives_no_call()
@@ -378,7 +381,7 @@
         scene.loop.settle()
         push()
         client.pull()
-    assert push() and pushed <= 65_535 + 65_535  # the client's window, and ours towards the instance
+    assert push() and pushed <= 65_535 + 65_535  # the windows of the client and of the dispatcher
     upstream = next(iter(scene.transport._upstreams.values()))
     assert upstream.call.stream.pending_bytes <= 65_535
     other = scene.client().call(SAFE)
@@ -387,7 +390,8 @@
     (held,) = [call.stream for call in scene.front.calls]
     stalled.send_reset(8)
     assert seen.wait_for_reset() == 8 and scene.released()
-    assert held.pending_bytes == 0  # a timer kept them until the deadline: 28 MiB for 500 streams
+    # Bytes that a timer kept until the deadline once took 28 MiB for 500 streams.
+    assert held.pending_bytes == 0
 
 
 def test_a_sender_is_held_back_by_an_instance_that_does_not_read():
@@ -449,7 +453,7 @@
     assert scene.receives_no_call()
 
 
-def test_a_load_report_in_trailers_steers_the_draw():
+def test_a_load_report_in_trailers_steers_the_choice_of_instance():
     scene = Scene(instances=2)
     first = scene.call(SAFE)
     full = scene.next_call().wait_for_end()
@@ -480,13 +484,13 @@
     scene = Scene(instances=2)
     client = scene.client()
     calls, seen = [], []
-    while len({each.peer for each in seen}) < 2:  # until both have one
+    while len({each.peer for each in seen}) < 2:  # until each instance has a connection
         calls.append(client.call(SAFE, timeout="60S"))
         seen.append(scene.next_call())
     left = scene.instances["s-1"].peers[0]
     scene.set_members("s-0")
     scene.loop.skip(7 * SECOND)
-    assert not left.pull() or not left.gone  # its calls run on
+    assert not left.pull() or not left.gone  # its calls continue
     for each in seen:
         each.wait_for_end().answer(b"")
     assert [call.status() for call in calls] == [0] * len(calls)
@@ -495,8 +499,8 @@
     assert not scene.instances["s-0"].peers[0].gone and b"s-1" not in scene.transport._instances
 
 
-def test_calls_that_have_ended_are_kept_by_nobody():
-    """Found by 500 calls a round that stayed until their deadlines, 100 s later."""
+def test_ended_calls_are_not_kept_in_memory():
+    """Ended calls, 500 in each round of a load, once stayed in memory until their deadlines, 100 s later."""
     scene = Scene()
     client = scene.client()
     for _ in range(20):
@@ -509,9 +513,9 @@
     assert sum(isinstance(each, Call) for each in gc.get_objects()) <= 1
 
 
-def test_an_answer_that_nobody_reads_is_let_go_after_the_deadline():
+def test_an_unread_response_is_discarded_after_the_deadline():
     scene = Scene()
-    client = scene.client({4: 0})  # its window lets nothing through
+    client = scene.client({4: 0})  # with an initial window of 0 nothing can be sent to it
     client.call(SAFE, timeout="2S")
     scene.next_call().wait_for_end().answer(b"x" * 100)
     scene.loop.until(lambda: scene.front._unread_responses)
@@ -523,7 +527,7 @@
 
 
 def test_h2_keeps_no_streams_that_are_closed(monkeypatch):
-    """Found by 24,000 unary calls that left 30 MiB behind: ours is the side that opened them."""
+    """h2 kept closed streams that this side had opened: 24,000 unary calls left 30 MiB behind."""
     monkeypatch.setattr(http2, "COUNTS_PER_CLEANUP", 4)
     scene = Scene()
     client = scene.client()
@@ -535,18 +539,19 @@
         assert len(connection._h2.streams) <= 8
 
 
-def test_a_want_of_descriptors_blames_no_instance_and_the_call_goes_out_once_there_are_some(monkeypatch):
-    # Failure: the coroutine that connects ended by the OSError, and who waited there waited to the deadline.
+def test_a_lack_of_descriptors_blames_no_instance_and_the_call_goes_out_once_there_are_some(monkeypatch):
+    # An OSError once ended the coroutine that connects, and the attempts that waited for the connection were
+    # stuck until their deadline.
     scene = Scene()
     client, real = scene.client(), socket.socket
     with monkeypatch.context() as patch:
 
-        def poor(*args, fileno=None, **kwargs):
-            if fileno is None:  # a new one; what was accepted has its descriptor
+        def fail_for_new_sockets(*args, fileno=None, **kwargs):
+            if fileno is None:  # a new socket; an accepted one already has its descriptor
                 raise OSError(24, "Too many open files")
             return real(*args, fileno=fileno, **kwargs)
 
-        patch.setattr("pulleyroute.net.http.socket.socket", poor)
+        patch.setattr("pulleyroute.net.http.socket.socket", fail_for_new_sockets)
         call = client.call(CHARGE, b"x")
         scene.loop.until(lambda: scene.host.tracked_requests and not scene.transport.open_attempts)
     assert not scene.host.avoided and not scene.loop.errors
--- a/tests/grpc/test_campaign.py
+++ b/tests/grpc/test_campaign.py
@@ -1,5 +1,7 @@
-"""The judge over seeded faults, and proof that it can fail: mutants of the dispatcher and of what was
-seen."""
+"""Runs the fault campaign from seeds, and checks its judge.
+
+Mutants of the dispatcher, and changed observations, show that the judge finds violations.
+"""
 
 import pytest
 from loguru import logger
@@ -28,7 +30,7 @@
     assert (first.statuses, first.acts) == (second.statuses, second.acts)
 
 
-def test_a_dispatcher_that_takes_a_reset_for_a_proof_is_caught(monkeypatch):
+def test_a_dispatcher_that_takes_a_reset_as_proof_of_not_run_is_caught(monkeypatch):
     monkeypatch.setattr(
         call,
         "classify_abort",
@@ -49,7 +51,7 @@
     assert any("answer had begun" in line or "endings" in line for line in play().broken)
 
 
-def test_a_dispatcher_that_does_not_tell_the_instance_is_caught(monkeypatch):
+def test_a_dispatcher_that_does_not_cancel_at_the_instance_is_caught(monkeypatch):
     monkeypatch.setattr(call.Upstream, "give_up", lambda self: None)
     assert any("was not told" in line for line in play().broken)
 
@@ -70,15 +72,18 @@
     assert play().broken
 
 
-def test_a_dispatcher_that_shuts_out_who_turns_one_call_away_serves_worse(monkeypatch):
-    """What `Calls` reports beside a nack keeps the decisions from taking the instance for one that leaves."""
+def test_a_dispatcher_that_avoids_an_instance_after_one_nack_serves_fewer_calls(monkeypatch):
+    """With a nack, `GrpcTransport` reports a load without free slots.
+
+    Otherwise the decision module would take the instance for one that is leaving.
+    """
     good = play().statuses[0]
     monkeypatch.setattr(back, "NACK_QUEUE_LENGTH", -1e9)
     assert play().statuses[0] < 0.7 * good
 
 
 @pytest.mark.parametrize(
-    "change, told",
+    "change, expected",
     [
         ({"endings": []}, "endings"),
         ({"endings": ["status", "status"]}, "endings"),
@@ -88,7 +93,7 @@
         ({"ended_at": 2_000_001}, "after its deadline"),
     ],
 )
-def test_each_thing_that_the_judge_looks_at_can_fail(change, told):
+def test_each_thing_that_the_judge_looks_at_can_fail(change, expected):
     fine = {
         "id": "c",
         "unsafe": True,
@@ -101,4 +106,4 @@
     }
     runs = [Taken("c", "b", Act("status", 0, 1), 1_000_000, 0, 1, told=True)]
     assert judge(Asked(**fine), runs) == []
-    assert any(told in line for line in judge(Asked(**(fine | change)), runs))
+    assert any(expected in line for line in judge(Asked(**(fine | change)), runs))
--- a/tests/grpc/test_floods.py
+++ b/tests/grpc/test_floods.py
@@ -1,4 +1,4 @@
-"""Peers that play the protocol against us: each costs its own connection alone."""
+"""Peers that abuse HTTP/2 or violate it: each loses its own connection or stream, and affects no other."""
 
 import struct
 
@@ -24,8 +24,8 @@
 CALM = 11
 
 
-def raw(peer, *frames):
-    """Whatever h2 would not send."""
+def send_raw(peer, *frames):
+    """Send frames that h2 would refuse to send."""
     try:
         peer.sock.setblocking(True)
         peer.sock.sendall(
@@ -46,14 +46,19 @@
 
 FLOODS = {
     "rapid reset": rapid_reset,
-    "ping": lambda peer: raw(peer, *[PingFrame(0, b"12345678") for _ in range(200)]),
-    "settings": lambda peer: raw(peer, *[SettingsFrame(0) for _ in range(100)]),
-    "priority": lambda peer: raw(peer, *[PriorityFrame(2 * i + 1, stream_weight=1) for i in range(4000)]),
-    "empty data": lambda peer: (peer.call(SAFE, None), raw(peer, *[DataFrame(1, b"") for _ in range(1000)])),
-    "window by the byte": lambda peer: raw(
+    "ping": lambda peer: send_raw(peer, *[PingFrame(0, b"12345678") for _ in range(200)]),
+    "settings": lambda peer: send_raw(peer, *[SettingsFrame(0) for _ in range(100)]),
+    "priority": lambda peer: send_raw(
+        peer, *[PriorityFrame(2 * i + 1, stream_weight=1) for i in range(4000)]
+    ),
+    "empty data": lambda peer: (
+        peer.call(SAFE, None),
+        send_raw(peer, *[DataFrame(1, b"") for _ in range(1000)]),
+    ),
+    "window by the byte": lambda peer: send_raw(
         peer, *[WindowUpdateFrame(0, window_increment=1) for _ in range(60_000)]
     ),
-    "continuation": lambda peer: raw(
+    "continuation": lambda peer: send_raw(
         peer, HeadersFrame(1, b"\x82"), *[ContinuationFrame(1, b"\x82") for _ in range(100)]
     ),
 }
@@ -76,7 +81,10 @@
 
 
 def test_a_client_that_cancels_many_answered_calls_is_no_flood(monkeypatch):
-    """Found with 2,000 slow readers that all went at once: cancelling what has begun is not a rapid reset."""
+    """Cancelling calls whose response has begun is no rapid reset.
+
+    2,000 slow readers that left at the same time were once taken for one.
+    """
     monkeypatch.setitem(ALLOWED, "reset", Allowance(0, 5))
     scene = Scene(slots=100)
     client = scene.client()
@@ -134,13 +142,13 @@
         [("a", "1"), (":scheme", "http")],
     ],
 )
-def test_a_head_out_of_form_ends_its_stream_and_goes_nowhere(bad):
+def test_malformed_headers_end_their_stream_and_go_nowhere(bad):
     scene = Scene()
     client = scene.client()
     call = client.call(SAFE, None, *bad)
     assert call.wait_for_reset() == 1
     assert scene.receives_no_call() and scene.released()
-    # An instance's trailers are looked at too.
+    # The trailers of an instance are checked as well.
     call = client.call(SAFE)
     seen = scene.next_call().wait_for_end()
     seen.send_headers([(":status", "200"), ("content-type", "application/grpc")])
@@ -149,7 +157,7 @@
     assert call.status() == Status.INTERNAL and scene.released()
 
 
-def test_who_connects_and_says_nothing_is_let_go():
+def test_a_client_that_sends_nothing_is_disconnected():
     import socket
 
     scene = Scene()
@@ -159,7 +167,7 @@
         assert not scene.front.connections
 
 
-def test_more_streams_than_allowed_are_not_let_in():
+def test_more_streams_than_allowed_are_rejected():
     scene = Scene(limits=FrontLimits(connection=Limits(streams=2)))
     client = scene.client()
     scene.loop.settle()
@@ -167,7 +175,7 @@
     assert client.h2.remote_settings.max_concurrent_streams == 2
     for _ in range(2):
         client.call(SAFE, end=False)
-    raw(client, client.h2.data_to_send(), HeadersFrame(5, b"\x82\x86", flags=["END_HEADERS"]))
+    send_raw(client, client.h2.data_to_send(), HeadersFrame(5, b"\x82\x86", flags=["END_HEADERS"]))
     scene.loop.until(lambda: client.pull() and (client.gone or client.goaways))
 
 
@@ -186,8 +194,10 @@
 
 
 def test_a_reset_of_a_settings_window_cannot_hold_more_than_the_window():
-    """SETTINGS_INITIAL_WINDOW_SIZE of 0 stalls a call; it ends with its deadline and holds a window at
-    most."""
+    """With a SETTINGS_INITIAL_WINDOW_SIZE of 0 a call stalls until its deadline.
+
+    At most one window of its response is buffered.
+    """
     scene = Scene(transport_limits=Limits(window=16_384))
     call = scene.client({4: 0}).call(SAFE, timeout="2S")
     seen = scene.next_call().wait_for_end()
--- a/tests/grpc/test_peers.py
+++ b/tests/grpc/test_peers.py
@@ -1,4 +1,7 @@
-"""grpcio as client and server, sync and aio, through the program as users start it; TLS and its rotation."""
+"""grpcio clients and servers, synchronous and asyncio, through the program as users start it.
+
+Also covers TLS and the rotation of certificates.
+"""
 
 import asyncio
 import time
@@ -39,7 +42,7 @@
 
 
 def test_aio_on_both_sides(tmp_path):
-    """The four kinds with grpc.aio, and a cancel that reaches the handler."""
+    """The four kinds of calls with grpc.aio, and a cancellation that reaches the handler."""
 
     async def scene():
         cancelled = asyncio.Event()
@@ -107,8 +110,8 @@
         with program(tmp_path, config, None) as started:
             text = started.config.read_text()
             tls = f'  tls {{\n    certificate = "{files.certificate}"\n    key = "{files.key}"\n  }}\n'
-            # A second listener with TLS comes by reload.
-            address = f"127.0.0.1:{free_port()}"  # the next one up may be a connection's own end
+            # A reload adds a second listener, with TLS.
+            address = f"127.0.0.1:{free_port()}"  # the next port may already be in use by a connection
             more = f'listener "safe" {{\n  protocol = "grpc"\n  address = "{address}"\n{tls}}}\n'
             started.config.write_text(text + more)
             started.hang_up()
@@ -125,7 +128,7 @@
 
                 answers = stream(requests(), timeout=60)
                 assert next(answers) == b"one"
-                certificates(tmp_path)  # another CA and certificate, at the same place
+                certificates(tmp_path)  # replaces the CA and the certificate in the same files
                 assert files.ca.read_bytes() != old_ca
                 started.hang_up()
                 end = time.monotonic() + 60
@@ -137,7 +140,7 @@
                             break
                         except grpc.FutureTimeoutError:
                             assert time.monotonic() < end
-                go_on.set_result(None)  # the stream on the old certificate goes on
+                go_on.set_result(None)  # the stream on the connection with the old certificate continues
                 assert next(answers) == b"two" and list(answers) == []
                 assert play(before, Case("x", "Unary")).messages == [b"hello"]
     finally:
--- a/tests/grpc/test_pure.py
+++ b/tests/grpc/test_pure.py
@@ -1,4 +1,8 @@
-"""The parts of gRPC that take bytes and numbers: heads, time-outs, statuses, routes, meter, replay, words."""
+"""The parts of the gRPC package without I/O.
+
+Covers headers, timeouts, statuses, routes, the message meter, the replay buffer, the classification of attempts
+and load reports.
+"""
 
 import pytest
 from hypothesis import given
@@ -48,7 +52,7 @@
 
 
 @pytest.mark.parametrize("text", [b"", b"1", b"S", b"123456789S", b"-1S", b"1.5S", b"1 S", b"1s"])
-def test_a_timeout_out_of_form_is_refused(text):
+def test_a_malformed_timeout_is_rejected(text):
     with pytest.raises(InvalidRequestHead):
         parse_timeout(text)
 
@@ -87,7 +91,7 @@
         (b"x-a", b"2"),
         (b"authorization", b"secret"),
     ]
-    assert out[-1][2:] == (True,)  # kept out of the compression's tables
+    assert out[-1][2:] == (True,)  # never indexed, so kept out of the HPACK tables
 
 
 @pytest.mark.parametrize(
@@ -107,10 +111,10 @@
 
 
 @given(st.text())
-def test_a_message_survives_its_quoting(text):
-    coded = percent_encode(text)
-    assert all(0x20 <= byte <= 0x7E for byte in coded)
-    assert percent_decode(coded) == text.encode(errors="replace").decode()
+def test_a_status_message_survives_percent_encoding(text):
+    encoded = percent_encode(text)
+    assert all(0x20 <= byte <= 0x7E for byte in encoded)
+    assert percent_decode(encoded) == text.encode(errors="replace").decode()
 
 
 def test_statuses_from_elsewhere():
@@ -203,13 +207,15 @@
     return [(b"grpc-status", b"%d" % status), *more]
 
 
-def test_what_an_instances_word_means():
+def test_the_end_of_an_attempt_is_classified():
     nack = (b"x-turned-away", b"1")
     wait = (b"grpc-retry-pushback-ms", b"200")
     free = {"committed": False, "time_left": 1_000_000, "unsafe": False, "last_attempt": False}
     assert classify_trailers(200, trailers(0), **free).ending is Ending.SERVED
     assert classify_trailers(200, trailers(13), **free).ending is Ending.FAILED
-    assert classify_trailers(200, trailers(14), **free).ending is None  # the decisions say whether again
+    assert (
+        classify_trailers(200, trailers(14), **free).ending is None
+    )  # the decision module decides on a retry
     assert classify_trailers(200, trailers(8), **free).ending is Ending.FAILED
     assert classify_trailers(200, trailers(8, wait), **free) == classify_trailers(
         200, trailers(8, wait), **free
@@ -222,7 +228,7 @@
     assert committed.ending is Ending.FAILED and not committed.nacked and not committed.delay_us
     assert (
         classify_trailers(200, trailers(14, wait), **free | {"unsafe": True}).delay_us == 0
-    )  # it goes out no more
+    )  # not sent again
     assert classify_trailers(200, trailers(14, wait), **free | {"last_attempt": True}).delay_us == 0
     assert classify_trailers(200, trailers(14, wait), **free | {"time_left": 100_000}).ending is Ending.FAILED
     assert classify_trailers(503, [], **free).status is Status.UNAVAILABLE
@@ -242,9 +248,9 @@
 
     report = OrcaReport(application_utilization=0.25, rps_fractional=3)
     report.named_metrics["queue"] = 2
-    coded = base64.b64encode(report.SerializeToString()).rstrip(b"=")
+    encoded = base64.b64encode(report.SerializeToString()).rstrip(b"=")
     for name, value in (
-        (b"endpoint-load-metrics-bin", coded),
+        (b"endpoint-load-metrics-bin", encoded),
         (b"endpoint-load-metrics", b"TEXT application_utilization=0.25,queue=2"),
         (b"endpoint-load-metrics", b'JSON {"application_utilization":0.25,"named_metrics":{"queue":2}}'),
     ):
@@ -267,7 +273,7 @@
     assert limits.take(kind, 10_000_000) and FloodLimits().take("unknown", 0)
 
 
-def test_advice_is_rounded_up_so_that_nobody_comes_early():
+def test_pushback_is_rounded_up_so_that_no_client_retries_early():
     assert first_value(status_trailers(Status.UNAVAILABLE, "x", 1), b"grpc-retry-pushback-ms") == b"1"
     assert (
         first_value(status_trailers(Status.UNAVAILABLE, "x", 1_500_001), b"grpc-retry-pushback-ms") == b"1501"
