--- a/tests/grpc/test_pure.py
+++ b/tests/grpc/test_pure.py
@@ -1,7 +1,7 @@
 """The parts of the gRPC package without I/O.
 
-Covers headers, timeouts, statuses, routes, the message meter, the replay buffer, the classification of attempts
-and load reports.
+Covers headers, timeouts, statuses, routes, the message meter, the replay buffer, load reports and the
+classification of attempts.
 """
 
 import pytest
