--- a/pulleyroute/grpc/back.py
+++ b/pulleyroute/grpc/back.py
@@ -35,7 +35,7 @@
     """The connections of this process to one instance, and its attempts there."""
 
     connections: list[Http2Connection] = field(default_factory=list)
-    waiting: dict[Attempt, None] = field(default_factory=dict)  # for a connection, in order
+    waiting: dict[Attempt, None] = field(default_factory=dict)  # attempts that wait for a connection
     connect_task: Task | None = None
     unreachable: bool = False  # the last attempt to connect failed
     open_attempts: int = 0  # attempts not ended, with or without a stream yet
--- a/pulleyroute/grpc/call.py
+++ b/pulleyroute/grpc/call.py
@@ -239,7 +239,7 @@
         self.sent_bytes = 0  # bytes of the request that have been written to the socket
         self._on_finished = on_finished
         self._http_status = 0
-        self._final_headers: Headers | None = None  # of a response that consists of headers alone
+        self._final_headers: Headers | None = None  # of a response that is trailers-only or not gRPC
         self._committed = False  # the response headers have been forwarded
         self._finished = False
         self._request_ended = False  # the stream has been asked to end the request
@@ -262,7 +262,7 @@
             self.stream.consumed(count)
 
     def headers(self, headers: Headers, ended: bool) -> None:
-        """Forward the response headers, or conclude a response that has no messages."""
+        """Forward the response headers, or conclude a response that is trailers-only or not gRPC."""
         if self._finished or self._committed:
             return
         self._http_status = int(first_value(headers, b":status") or b"0")
@@ -307,7 +307,7 @@
         self._on_finished(self, result, trailers)
 
     def _conclude(self, is_grpc: bool) -> None:
-        """Report the result of a response that consists of headers alone."""
+        """Report the result of a response that is trailers-only or not gRPC."""
         head = self._final_headers or []
         self._finished = True
         result = self._classify(head)
--- a/tests/grpc/test_pure.py
+++ b/tests/grpc/test_pure.py
@@ -210,29 +210,30 @@
 def test_the_end_of_an_attempt_is_classified():
     nack = (b"x-turned-away", b"1")
     wait = (b"grpc-retry-pushback-ms", b"200")
-    free = {"committed": False, "time_left": 1_000_000, "unsafe": False, "last_attempt": False}
-    assert classify_trailers(200, trailers(0), **free).ending is Ending.SERVED
-    assert classify_trailers(200, trailers(13), **free).ending is Ending.FAILED
-    assert (
-        classify_trailers(200, trailers(14), **free).ending is None
-    )  # the decision module decides on a retry
-    assert classify_trailers(200, trailers(8), **free).ending is Ending.FAILED
-    assert classify_trailers(200, trailers(8, wait), **free) == classify_trailers(
-        200, trailers(8, wait), **free
+    defaults = {"committed": False, "time_left": 1_000_000, "unsafe": False, "last_attempt": False}
+    assert classify_trailers(200, trailers(0), **defaults).ending is Ending.SERVED
+    assert classify_trailers(200, trailers(13), **defaults).ending is Ending.FAILED
+    # The decision module decides on a retry.
+    assert classify_trailers(200, trailers(14), **defaults).ending is None
+    assert classify_trailers(200, trailers(8), **defaults).ending is Ending.FAILED
+    assert classify_trailers(200, trailers(8, wait), **defaults) == classify_trailers(
+        200, trailers(8, wait), **defaults
     )
-    assert classify_trailers(200, trailers(8, wait), **free).delay_us == 200_000
-    marked = classify_trailers(200, trailers(14, nack), **free | {"unsafe": True})
+    assert classify_trailers(200, trailers(8, wait), **defaults).delay_us == 200_000
+    marked = classify_trailers(200, trailers(14, nack), **defaults | {"unsafe": True})
     assert marked.outcome is Outcome.FULL and marked.nacked and marked.ending is None
-    assert not classify_trailers(200, trailers(5, nack), **free).nacked
-    committed = classify_trailers(200, trailers(14, nack, wait), **free | {"committed": True})
+    assert not classify_trailers(200, trailers(5, nack), **defaults).nacked
+    committed = classify_trailers(200, trailers(14, nack, wait), **defaults | {"committed": True})
     assert committed.ending is Ending.FAILED and not committed.nacked and not committed.delay_us
+    # The call is not sent again, so there is no delay.
+    assert classify_trailers(200, trailers(14, wait), **defaults | {"unsafe": True}).delay_us == 0
+    assert classify_trailers(200, trailers(14, wait), **defaults | {"last_attempt": True}).delay_us == 0
     assert (
-        classify_trailers(200, trailers(14, wait), **free | {"unsafe": True}).delay_us == 0
-    )  # not sent again
-    assert classify_trailers(200, trailers(14, wait), **free | {"last_attempt": True}).delay_us == 0
-    assert classify_trailers(200, trailers(14, wait), **free | {"time_left": 100_000}).ending is Ending.FAILED
-    assert classify_trailers(503, [], **free).status is Status.UNAVAILABLE
-    assert classify_trailers(200, [], **free).status is Status.INTERNAL
+        classify_trailers(200, trailers(14, wait), **defaults | {"time_left": 100_000}).ending
+        is Ending.FAILED
+    )
+    assert classify_trailers(503, [], **defaults).status is Status.UNAVAILABLE
+    assert classify_trailers(200, [], **defaults).status is Status.INTERNAL
     assert (
         classify_abort(7, True).outcome is Outcome.FULL and classify_abort(None, True).outcome is Outcome.MOOT
     )
