--- a/tests/grpc/test_floods.py
+++ b/tests/grpc/test_floods.py
@@ -1,4 +1,4 @@
-"""Peers that play the protocol against us: each costs its own connection alone."""
+"""Peers that abuse HTTP/2 or violate it: each loses its own connection or stream, and affects no other."""
 
 import struct
 
@@ -24,8 +24,8 @@
 CALM = 11
 
 
-def raw(peer, *frames):
-    """Whatever h2 would not send."""
+def send_raw(peer, *frames):
+    """Send frames that h2 would refuse to send."""
     try:
         peer.sock.setblocking(True)
         peer.sock.sendall(
@@ -39,21 +39,26 @@
 
 def rapid_reset(peer):
     for _ in range(1300):
-        peer.call(SAFE, None).cut(8)
+        peer.call(SAFE, None).send_reset(8)
         peer.pull()
         peer.loop.turn(0)
 
 
 FLOODS = {
     "rapid reset": rapid_reset,
-    "ping": lambda peer: raw(peer, *[PingFrame(0, b"12345678") for _ in range(200)]),
-    "settings": lambda peer: raw(peer, *[SettingsFrame(0) for _ in range(100)]),
-    "priority": lambda peer: raw(peer, *[PriorityFrame(2 * i + 1, stream_weight=1) for i in range(4000)]),
-    "empty data": lambda peer: (peer.call(SAFE, None), raw(peer, *[DataFrame(1, b"") for _ in range(1000)])),
-    "window by the byte": lambda peer: raw(
+    "ping": lambda peer: send_raw(peer, *[PingFrame(0, b"12345678") for _ in range(200)]),
+    "settings": lambda peer: send_raw(peer, *[SettingsFrame(0) for _ in range(100)]),
+    "priority": lambda peer: send_raw(
+        peer, *[PriorityFrame(2 * i + 1, stream_weight=1) for i in range(4000)]
+    ),
+    "empty data": lambda peer: (
+        peer.call(SAFE, None),
+        send_raw(peer, *[DataFrame(1, b"") for _ in range(1000)]),
+    ),
+    "window by the byte": lambda peer: send_raw(
         peer, *[WindowUpdateFrame(0, window_increment=1) for _ in range(60_000)]
     ),
-    "continuation": lambda peer: raw(
+    "continuation": lambda peer: send_raw(
         peer, HeadersFrame(1, b"\x82"), *[ContinuationFrame(1, b"\x82") for _ in range(100)]
     ),
 }
@@ -64,7 +69,7 @@
     scene = Scene()
     quiet, loud = scene.client(), scene.client()
     call = quiet.call(SAFE)
-    seen = scene.arrived().wait_for_end()
+    seen = scene.next_call().wait_for_end()
     scene.loop.settle()
     FLOODS[name](loud)
     scene.loop.until(lambda: loud.pull() and (loud.gone or loud.goaways))
@@ -76,17 +81,20 @@
 
 
 def test_a_client_that_cancels_many_answered_calls_is_no_flood(monkeypatch):
-    """Found with 2,000 slow readers that all went at once: cancelling what has begun is not a rapid reset."""
+    """Cancelling calls whose response has begun is no rapid reset.
+
+    2,000 slow readers that left at the same time were once taken for one.
+    """
     monkeypatch.setitem(ALLOWED, "reset", Allowance(0, 5))
     scene = Scene(slots=100)
     client = scene.client()
     calls = [client.call(SAFE, b"", timeout="60S") for _ in range(30)]
     for _ in calls:
-        scene.arrived().headers([(":status", "200"), ("content-type", "application/grpc")])
+        scene.next_call().send_headers([(":status", "200"), ("content-type", "application/grpc")])
     for call in calls:
-        call.head()
-        call.cut(8)
-    scene.loop.until(scene.done)
+        call.wait_for_headers()
+        call.send_reset(8)
+    scene.loop.until(scene.released)
     assert not client.gone and not client.goaways
 
 
@@ -134,22 +142,22 @@
         [("a", "1"), (":scheme", "http")],
     ],
 )
-def test_a_head_out_of_form_ends_its_stream_and_goes_nowhere(bad):
+def test_malformed_headers_end_their_stream_and_go_nowhere(bad):
     scene = Scene()
     client = scene.client()
     call = client.call(SAFE, None, *bad)
-    assert call.broken() == 1
-    assert scene.untouched() and scene.done()
-    # An instance's trailers are looked at too.
+    assert call.wait_for_reset() == 1
+    assert scene.receives_no_call() and scene.released()
+    # The trailers of an instance are checked as well.
     call = client.call(SAFE)
-    seen = scene.arrived().wait_for_end()
-    seen.headers([(":status", "200"), ("content-type", "application/grpc")])
+    seen = scene.next_call().wait_for_end()
+    seen.send_headers([(":status", "200"), ("content-type", "application/grpc")])
     seen.peer.h2.send_headers(seen.id, [("grpc-status", "0"), *bad], end_stream=True)
     seen.peer.flush()
-    assert call.status() == Status.INTERNAL and scene.done()
+    assert call.status() == Status.INTERNAL and scene.released()
 
 
-def test_who_connects_and_says_nothing_is_let_go():
+def test_a_client_that_sends_nothing_is_disconnected():
     import socket
 
     scene = Scene()
@@ -159,7 +167,7 @@
         assert not scene.front.connections
 
 
-def test_more_streams_than_allowed_are_not_let_in():
+def test_more_streams_than_allowed_are_rejected():
     scene = Scene(limits=FrontLimits(connection=Limits(streams=2)))
     client = scene.client()
     scene.loop.settle()
@@ -167,7 +175,7 @@
     assert client.h2.remote_settings.max_concurrent_streams == 2
     for _ in range(2):
         client.call(SAFE, end=False)
-    raw(client, client.h2.data_to_send(), HeadersFrame(5, b"\x82\x86", flags=["END_HEADERS"]))
+    send_raw(client, client.h2.data_to_send(), HeadersFrame(5, b"\x82\x86", flags=["END_HEADERS"]))
     scene.loop.until(lambda: client.pull() and (client.gone or client.goaways))
 
 
@@ -175,10 +183,10 @@
     scene = Scene(limits=FrontLimits(connections=2))
     busy, idle = scene.client(), scene.client()
     call = busy.call(SAFE)
-    seen = scene.arrived().wait_for_end()
+    seen = scene.next_call().wait_for_end()
     scene.loop.until(lambda: len(scene.front.connections) == 2)
     third = scene.client().call(SAFE)
-    other = scene.arrived().wait_for_end()
+    other = scene.next_call().wait_for_end()
     assert scene.loop.until(lambda: idle.pull() and idle.gone)
     for each in (seen, other):
         each.answer(b"ok")
@@ -186,19 +194,21 @@
 
 
 def test_a_reset_of_a_settings_window_cannot_hold_more_than_the_window():
-    """SETTINGS_INITIAL_WINDOW_SIZE of 0 stalls a call; it ends with its deadline and holds a window at
-    most."""
-    scene = Scene(back=Limits(window=16_384))
+    """With a SETTINGS_INITIAL_WINDOW_SIZE of 0 a call stalls until its deadline.
+
+    At most one window of its response is buffered.
+    """
+    scene = Scene(transport_limits=Limits(window=16_384))
     call = scene.client({4: 0}).call(SAFE, timeout="2S")
-    seen = scene.arrived().wait_for_end()
-    seen.headers([(":status", "200"), ("content-type", "application/grpc")])
+    seen = scene.next_call().wait_for_end()
+    seen.send_headers([(":status", "200"), ("content-type", "application/grpc")])
     room = seen.peer.h2.local_flow_control_window(seen.id)
-    seen.send(b"\0" * min(room, 16_384))
+    seen.send_data(b"\0" * min(room, 16_384))
     scene.loop.until(lambda: [c for c in scene.front.calls if c.stream.pending_bytes])
     held = max(c.stream.pending_bytes for c in scene.front.calls)
     assert held <= 65_535 and not call.ended
     scene.loop.skip(3 * SECOND)
-    assert call.status() == Status.DEADLINE_EXCEEDED and scene.done()
+    assert call.status() == Status.DEADLINE_EXCEEDED and scene.released()
 
 
 def test_a_message_of_no_bytes_and_one_of_4_mib_pass():
@@ -211,14 +221,14 @@
             client.pull()
             room = min(client.h2.local_flow_control_window(call.id), 16_384)
             if room:
-                call.send(data[:room])
+                call.send_data(data[:room])
                 data = data[room:]
             scene.loop.turn(0)
-            for box in scene.boxes.values():
-                box.pull()
+            for instance in scene.instances.values():
+                instance.pull()
         call.peer.h2.end_stream(call.id)
         client.flush()
-        seen = scene.arrived().wait_for_end()
+        seen = scene.next_call().wait_for_end()
         assert seen.body == framed(message)
         seen.answer(b"")
-        assert call.status() == 0 and scene.done()
+        assert call.status() == 0 and scene.released()
