--- a/pulleyroute/fleet/store.py
+++ b/pulleyroute/fleet/store.py
@@ -1,8 +1,8 @@
-"""The common store's client: etcd v3's JSON gateway, over the loop.
+"""Client of the shared store, which is etcd v3 by its JSON gateway, as coroutines of the loop.
 
-Every call has a bound. One endpoint is in use; a call that fails moves on to the next. What is not known is
-said: `Lost` tells whether the call may have taken effect, and `commit` settles a transaction whose answer was
-lost by asking, never by hoping.
+Every call has a timeout. One endpoint is used at a time, and a failed call selects the next one.
+`StoreUnavailable` states whether the call may have taken effect. `commit` finds out by reading whether a
+transaction whose answer was lost has taken effect.
 """
 
 from __future__ import annotations
@@ -27,35 +27,38 @@
 )
 from pulleyroute.net.loop import Coroutine, Loop, Wait
 
-CALL_TIME = 1_000_000  # us
-MAX_ANSWER_BYTES = 4 * 1024 * 1024  # bytes of an answer or a watch's line
-PAUSE, LONGEST_PAUSE = 50_000, 2_000_000  # us between tries
-PAGE = 1000  # keys in one answer of a range
-OUT_OF_RANGE, UNAVAILABLE = 11, 14
-DRIFT = 0.02  # of a right's time: how much faster than the store's this process's clock may be
+CALL_TIMEOUT_US = 1_000_000
+MAX_ANSWER_BYTES = 4 * 1024 * 1024  # of an answer or a line of a watch
+MIN_RETRY_PAUSE_US, MAX_RETRY_PAUSE_US = 50_000, 2_000_000
+PAGE_KEYS = 1000  # in one answer to a range request
+OUT_OF_RANGE, UNAVAILABLE = 11, 14  # gRPC status codes
+CLOCK_DRIFT = 0.02  # share of a lease's time by which the store's clock may be faster than this process's
 
 Json = dict[str, Any]
 T = TypeVar("T")
 
 
 class StoreUnavailable(Exception):
-    """No answer. `maybe`: the call may have taken effect, or may yet."""
+    """No valid answer was received. `maybe_applied`: the call may have taken effect, or may still do so."""
 
-    def __init__(self, why: str, maybe_applied: bool) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, maybe_applied: bool) -> None:
+        super().__init__(reason)
         self.maybe_applied = maybe_applied
 
 
 class StoreRejected(Exception):
-    """The store turned the call down; nothing was changed."""
+    """The store rejected the call and changed nothing. `code`: the gRPC status code."""
 
-    def __init__(self, code: int, text: str) -> None:
-        super().__init__(text)
+    def __init__(self, code: int, message: str) -> None:
+        super().__init__(message)
         self.code = code
 
 
 class Compacted(Exception):
-    """What was to be watched from is forgotten: read the whole anew. `revision`: up to which it is."""
+    """The revision to watch from is compacted, so that the range has to be read again.
+
+    `revision`: the newest compacted one.
+    """
 
     def __init__(self, revision: int) -> None:
         super().__init__(f"compacted up to {revision}")
@@ -64,7 +67,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Item:
-    """A key as it stands; `value` is None where it is gone, and then `mod` 0 or the deletion's revision."""
+    """A key as of some revision; `lease` is the identifier of its lease, 0 for none.
+
+    `value` is None for a key that doesn't exist; `mod_revision` is then that of its deletion, or 0.
+    """
 
     key: bytes
     value: bytes | None = None
@@ -75,7 +81,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Page:
-    """A part of a range: the store's revision, the items, and whether there are more after them."""
+    """One page of a range. `revision`: the store's; `more`: whether further keys follow."""
 
     revision: int
     items: list[Item]
@@ -84,39 +90,39 @@
 
 @dataclass(slots=True, frozen=True)
 class Lease:
-    """A lease as its holder may use it: until a time of its own clock, counted from before it asked."""
+    """A lease of this process. `expires_at`: until when it may be relied on, by the loop's clock (us)."""
 
     id: int
     expires_at: int
 
     def is_valid(self, now: int) -> bool:
-        """Whether it may be used. To be asked again right before each use."""
+        """Return whether the lease may be relied on; to be checked right before each use."""
         return now < self.expires_at
 
 
-def lease_from_grant(lease: int, ttl: int, asked: int) -> Lease:
-    """The right of a lease of so many seconds, asked for at that time of one's own clock."""
-    # Guards against the answer's way: the store's time runs from when it got the call at the earliest, and
-    # that was after it was asked for. Counted from a slow answer, the right would outlive the lease.
-    return Lease(lease, asked + int(ttl * 1_000_000 * (1 - DRIFT)))
+def lease_from_grant(lease: int, ttl: int, requested_at: int) -> Lease:
+    """Return a lease of `ttl` seconds, requested or extended at that time of the loop's clock (us)."""
+    # The store counts the time from when it received the call, which is after the request was made. If this
+    # process counted from the arrival of a slow answer, it would rely on the lease after its end.
+    return Lease(lease, requested_at + int(ttl * 1_000_000 * (1 - CLOCK_DRIFT)))
 
 
 class Client:
-    """Owns the choice of the endpoint. Each call has a connection of its own."""
+    """Calls the store's endpoints. Each call uses a connection of its own; `calls` counts them."""
 
     def __init__(self, loop: Loop, pool: BufferPool, endpoints: list[tuple[str, int]], seed: int) -> None:
         self._loop, self._pool = loop, pool
         self._endpoints = endpoints
-        self._at = 0
+        self._endpoint = 0
         self._random = Random(seed)
-        self.calls = 0  # made, for the metrics
+        self.calls = 0
 
     # One call
 
     def _stream(self, path: str, body: Json, until: int) -> Coroutine[Any]:
-        """A connection with the call written whole; raises `Lost`."""
+        """Open a connection and send the request; raises `StoreUnavailable`."""
         self.calls += 1
-        address = self._endpoints[self._at % len(self._endpoints)]
+        address = self._endpoints[self._endpoint % len(self._endpoints)]
         data = json.dumps(body).encode()
         stream = None
         try:
@@ -132,40 +138,40 @@
             )
             yield from stream.send(stream.frame(head, data), until)
         except (ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, Malformed) as exc:
-            self._at += 1
+            self._endpoint += 1
             if stream is not None:
                 stream.close()
-            # Before its last byte was written no call is carried out.
-            raise StoreUnavailable(str(exc) or "no connection in time", maybe_applied=False) from None
+            # The store doesn't carry out a request that it has not received completely.
+            raise StoreUnavailable(str(exc) or "connecting timed out", maybe_applied=False) from None
         return stream
 
     def call(self, path: str, body: Json) -> Coroutine[Json]:
-        """One call; raises `Lost` or `Turned`."""
-        until = self._loop.now() + CALL_TIME
+        """Make one call and return the answer; raises `StoreUnavailable` or `StoreRejected`."""
+        until = self._loop.now() + CALL_TIMEOUT_US
         stream = yield from self._stream(path, body, until)
         try:
             answer = yield from stream.response(until, MAX_ANSWER_BYTES)
             value = json.loads(answer.body)
             if not isinstance(value, dict):
-                raise ValueError("not an object")
+                raise ValueError("the answer is not a JSON object")
         except (ConnectionFailed, DeadlineExceeded, Malformed, ValueError, RecursionError) as exc:
-            self._at += 1
-            raise StoreUnavailable(str(exc) or "no answer in time", maybe_applied=True) from None
+            self._endpoint += 1
+            raise StoreUnavailable(str(exc) or "no answer before the timeout", maybe_applied=True) from None
         finally:
             stream.close()
         if answer.status == 200:
             return value
         code = value.get("code")
         if code == UNAVAILABLE or answer.status >= 500 or not isinstance(code, int):
-            # Guards against a leader lost in mid-call: the original answers so after a commit, too.
-            self._at += 1
+            # etcd also answers so when it loses its leader during a call, and may have committed before.
+            self._endpoint += 1
             raise StoreUnavailable(f"status {answer.status}: {value.get('message')}", maybe_applied=True)
         raise StoreRejected(code, str(value.get("message")))
 
     # Reading
 
     def range(self, key: bytes, end: bytes = b"") -> Coroutine[tuple[int, list[Item]]]:
-        """The store's revision and what stands in the range at it; read in pages, all at that revision."""
+        """Return the store's revision and the keys of a range; all pages are read at that revision."""
         revision, items, start = 0, [], key
         while True:
             page = yield from self._page(start, end, revision)
@@ -177,50 +183,54 @@
 
     def _page(self, start: bytes, end: bytes, revision: int) -> Coroutine[Page]:
         body = {
-            "key": _text(start),
-            "range_end": _text(end),
-            "limit": str(PAGE),
+            "key": _base64(start),
+            "range_end": _base64(end),
+            "limit": str(PAGE_KEYS),
             "revision": str(revision),
         }
         try:
-            told = yield from self.call("/v3/kv/range", body)
+            answer = yield from self.call("/v3/kv/range", body)
         except StoreRejected as exc:
             if revision and exc.code == OUT_OF_RANGE:
-                # A reading that a compaction has overtaken would else count as a call that is not in form.
+                # The revision was compacted between two pages. As `StoreRejected` this would count as an
+                # invalid call.
                 raise StoreUnavailable(str(exc), maybe_applied=False) from None
             raise
-        return _shaped(
+        return _parse(
             lambda: Page(
-                int(told["header"]["revision"]),
-                [_item(kv) for kv in told.get("kvs", [])],
-                bool(told.get("more", False)),
+                int(answer["header"]["revision"]),
+                [_item(kv) for kv in answer.get("kvs", [])],
+                bool(answer.get("more", False)),
             )
         )
 
     def watch(
-        self, key: bytes, end: bytes, start: int, heard: Callable[[list[Item], int], None], silence: int
+        self, key: bytes, end: bytes, start: int, on_change: Callable[[list[Item], int], None], timeout: int
     ) -> Coroutine[None]:
-        """Tell `heard` of changes from a revision on, with the store's; ends by `Lost` or `Compacted`.
+        """Call `on_change` with changed keys and the store's revision, from the revision `start` on.
 
-        `silence`: us after which a watch that told nothing counts as broken; whoever watches then reads the
-        whole anew, since a store may keep a connection open and say nothing.
+        Ends with `StoreUnavailable` or `Compacted`. `timeout`: us without a message after which the watch
+        counts as broken. The caller then has to read the range again, since a store may keep the connection
+        open and send nothing.
         """
-        body = {"create_request": {"key": _text(key), "range_end": _text(end), "start_revision": str(start)}}
-        stream = yield from self._stream("/v3/watch", body, self._loop.now() + CALL_TIME)
+        body = {
+            "create_request": {"key": _base64(key), "range_end": _base64(end), "start_revision": str(start)}
+        }
+        stream = yield from self._stream("/v3/watch", body, self._loop.now() + CALL_TIMEOUT_US)
         try:
-            answer = yield from stream.response_head(self._loop.now() + CALL_TIME)
+            answer = yield from stream.response_head(self._loop.now() + CALL_TIMEOUT_US)
             if answer.status != 200:
                 raise ConnectionFailed(f"status {answer.status}")
-            rest = b""
+            partial = b""
             while True:
-                event = yield from stream.event(self._loop.now() + silence)
+                event = yield from stream.event(self._loop.now() + timeout)
                 if not isinstance(event, h11.Data):
-                    raise ConnectionFailed("the watch ended")
-                *lines, rest = (rest + bytes(event.data)).split(b"\n")
-                if len(rest) > MAX_ANSWER_BYTES:
-                    raise ConnectionFailed("a line is too long")
+                    raise ConnectionFailed("the store ended the watch")
+                *lines, partial = (partial + bytes(event.data)).split(b"\n")
+                if len(partial) > MAX_ANSWER_BYTES:
+                    raise ConnectionFailed(f"a line of the watch is over {MAX_ANSWER_BYTES} bytes")
                 for line in lines:
-                    self._heard(json.loads(line)["result"], heard)
+                    self._deliver(json.loads(line)["result"], on_change)
         except (
             ConnectionFailed,
             DeadlineExceeded,
@@ -230,16 +240,18 @@
             TypeError,
             RecursionError,
         ) as exc:
-            self._at += 1
-            raise StoreUnavailable(str(exc) or "silence", maybe_applied=False) from None
+            self._endpoint += 1
+            raise StoreUnavailable(
+                str(exc) or "no message from the watch before the timeout", maybe_applied=False
+            ) from None
         finally:
             stream.close()
 
-    def _heard(self, result: Json, heard: Callable[[list[Item], int], None]) -> None:
+    def _deliver(self, result: Json, on_change: Callable[[list[Item], int], None]) -> None:
         if result.get("canceled"):
             raise Compacted(int(result.get("compact_revision", 0)))
-        items = [_item(each["kv"], gone=each.get("type") == "DELETE") for each in result.get("events", [])]
-        heard(items, int(result["header"]["revision"]))
+        items = [_item(each["kv"], deleted=each.get("type") == "DELETE") for each in result.get("events", [])]
+        on_change(items, int(result["header"]["revision"]))
 
     # Writing
 
@@ -252,15 +264,17 @@
         compares: list[Json] | None = None,
         extra_operations: list[Json] | None = None,
     ) -> Coroutine[Item | None]:
-        """Put a value, or delete for None, if the key still stands as `item` and all guards hold.
+        """Put a value, or delete the key for None, if the key is unchanged since `item` and `compares` hold.
 
-        Tried until it is answered. `value` has to be unlike any other put there; `also` is carried out in the
-        same transaction. Returns None once it is committed, else the key as it stands, or `item` itself where
-        a guard did not hold. Raises `Lost` if `until` comes first: then it may have been committed, or may
-        yet; and `Turned`.
+        Retries until the store answers. `value` has to differ from any other value put under the key;
+        `extra_operations` are carried out in the same transaction. Returns None once committed. Otherwise
+        returns the key as it is now, which equals `item` if one of `compares` did not hold. Raises
+        `StoreRejected`; and `StoreUnavailable` if there is no answer by `until`: the transaction may then
+        have been committed, or may still be.
 
-        Each try compares the key's revision, so that of an earlier one that comes late and a later one only
-        one takes effect; and a lost answer shows in the next try's failure branch, which reads the key.
+        Every attempt compares the key's revision, so that only one takes effect even if an earlier attempt
+        reaches the store late. If an answer was lost, the next attempt's failure branch reads the key and
+        finds the value.
         """
         body = {
             "compare": [compare_unchanged(item), *(compares or [])],
@@ -268,92 +282,95 @@
                 delete(item.key) if value is None else put(item.key, value, lease),
                 *(extra_operations or []),
             ],
-            "failure": [{"request_range": {"key": _text(item.key)}}],
+            "failure": [{"request_range": {"key": _base64(item.key)}}],
         }
-        pause = Backoff(PAUSE, LONGEST_PAUSE, self._random)
+        pause = Backoff(MIN_RETRY_PAUSE_US, MAX_RETRY_PAUSE_US, self._random)
         maybe_applied = False
         while True:
             try:
-                told = yield from self.call("/v3/kv/txn", body)
+                answer = yield from self.call("/v3/kv/txn", body)
                 break
             except StoreUnavailable as exc:
                 maybe_applied = maybe_applied or exc.maybe_applied
-                rest = self._loop.now() + pause.failed()
-                if rest >= until:
+                retry_at = self._loop.now() + pause.failed()
+                if retry_at >= until:
                     raise StoreUnavailable(str(exc), maybe_applied) from None
-                yield Wait(until=rest)
-        if told.get("succeeded"):
+                yield Wait(until=retry_at)
+        if answer.get("succeeded"):
             return None
-        kvs = _shaped(lambda: told["responses"][0]["response_range"].get("kvs", []))
-        now = _item(kvs[0]) if kvs else Item(item.key)
-        return None if now.value == value else now
+        kvs = _parse(lambda: answer["responses"][0]["response_range"].get("kvs", []))
+        current = _item(kvs[0]) if kvs else Item(item.key)
+        return None if current.value == value else current
 
     # Leases
 
     def grant(self, ttl: int) -> Coroutine[Lease]:
-        """A lease of so many seconds."""
-        asked = self._loop.now()
-        told = yield from self.call("/v3/lease/grant", {"TTL": str(ttl)})
-        return _shaped(lambda: lease_from_grant(int(told["ID"]), int(told["TTL"]), asked))
+        """Request a lease of `ttl` seconds; raises `StoreUnavailable` or `StoreRejected`."""
+        requested_at = self._loop.now()
+        answer = yield from self.call("/v3/lease/grant", {"TTL": str(ttl)})
+        return _parse(lambda: lease_from_grant(int(answer["ID"]), int(answer["TTL"]), requested_at))
 
-    def extend(self, held: Lease) -> Coroutine[Lease | None]:
-        """The same right for its whole time anew; None where the store knows it no more."""
-        asked = self._loop.now()
-        told = yield from self.call("/v3/lease/keepalive", {"ID": str(held.id)})
-        ttl = _shaped(lambda: int(told["result"].get("TTL", 0)))
-        return lease_from_grant(held.id, ttl, asked) if ttl > 0 else None
+    def extend(self, lease: Lease) -> Coroutine[Lease | None]:
+        """Extend a lease by its full time; returns None if the store doesn't know it any more."""
+        requested_at = self._loop.now()
+        answer = yield from self.call("/v3/lease/keepalive", {"ID": str(lease.id)})
+        ttl = _parse(lambda: int(answer["result"].get("TTL", 0)))
+        return lease_from_grant(lease.id, ttl, requested_at) if ttl > 0 else None
 
-    def revoke(self, held: Lease) -> Coroutine[None]:
-        """Give a right back, with all keys under it."""
-        yield from self.call("/v3/lease/revoke", {"ID": str(held.id)})
+    def revoke(self, lease: Lease) -> Coroutine[None]:
+        """Revoke a lease; the store deletes the keys attached to it."""
+        yield from self.call("/v3/lease/revoke", {"ID": str(lease.id)})
 
 
 def compare_created(key: bytes, create_revision: int) -> Json:
-    """That a key still is the one created at this revision: as with one's own election key."""
-    return {"key": _text(key), "target": "CREATE", "create_revision": str(create_revision)}
+    """Return a comparison: the key has not been deleted or created again since it was created.
+
+    Compared on the key of an election, it holds only while the same process leads.
+    """
+    return {"key": _base64(key), "target": "CREATE", "create_revision": str(create_revision)}
 
 
 def item_at(items: Mapping[bytes, Item], key: bytes) -> Item:
-    """A key as it stands among what was read; one that is not there is one without a value."""
+    """Return the item of a key among those that were read; without a value if the key is not among them."""
     return items.get(key, Item(key))
 
 
 def compare_unchanged(item: Item) -> Json:
-    """That a key stands as it was read, or is still not there."""
+    """Return a comparison: the key is unchanged since it was read, or still doesn't exist."""
     mod_revision = item.mod_revision if item.value is not None else 0
-    return {"key": _text(item.key), "target": "MOD", "mod_revision": str(mod_revision)}
+    return {"key": _base64(item.key), "target": "MOD", "mod_revision": str(mod_revision)}
 
 
 def put(key: bytes, value: bytes, lease: int = 0) -> Json:
-    """A transaction's operation: put."""
-    return {"request_put": {"key": _text(key), "value": _text(value), "lease": str(lease)}}
+    """Return an operation of a transaction that puts a key."""
+    return {"request_put": {"key": _base64(key), "value": _base64(value), "lease": str(lease)}}
 
 
 def delete(key: bytes, end: bytes = b"") -> Json:
-    """A transaction's operation: delete a key, whether or not it is there, or all from it to before `end`."""
-    return {"request_delete_range": {"key": _text(key), "range_end": _text(end)}}
+    """Return an operation of a transaction that deletes a key, if it exists, or the keys up to `end`."""
+    return {"request_delete_range": {"key": _base64(key), "range_end": _base64(end)}}
 
 
-def _text(data: bytes) -> str:
+def _base64(data: bytes) -> str:
     return b64encode(data).decode()
 
 
-def _item(each: Json, gone: bool = False) -> Item:
-    key = b64decode(each["key"])
-    if gone:
-        return Item(key, None, int(each.get("mod_revision", 0)))
+def _item(kv: Json, deleted: bool = False) -> Item:
+    key = b64decode(kv["key"])
+    if deleted:
+        return Item(key, None, int(kv.get("mod_revision", 0)))
     return Item(
         key,
-        b64decode(each.get("value", "")),
-        int(each["mod_revision"]),
-        int(each["create_revision"]),
-        int(each.get("lease", 0)),
+        b64decode(kv.get("value", "")),
+        int(kv["mod_revision"]),
+        int(kv["create_revision"]),
+        int(kv.get("lease", 0)),
     )
 
 
-def _shaped(read: Callable[[], T]) -> T:
-    """What an answer says; one that is not in form is no answer."""
+def _parse(read: Callable[[], T]) -> T:
+    """Return what `read` takes from an answer; a malformed answer counts as none."""
     try:
         return read()
     except (KeyError, IndexError, TypeError, ValueError, AttributeError) as exc:
-        raise StoreUnavailable(f"an answer is not in form: {exc!r}", maybe_applied=True) from None
+        raise StoreUnavailable(f"malformed answer: {exc!r}", maybe_applied=True) from None
