--- a/pulleyroute/fleet/store.py
+++ b/pulleyroute/fleet/store.py
@@ -342,12 +342,12 @@
 
 
 def put(key: bytes, value: bytes, lease: int = 0) -> Json:
-    """Return an operation of a transaction that puts a key."""
+    """Return an operation that puts a key."""
     return {"request_put": {"key": _base64(key), "value": _base64(value), "lease": str(lease)}}
 
 
 def delete(key: bytes, end: bytes = b"") -> Json:
-    """Return an operation of a transaction that deletes a key, if it exists, or the keys up to `end`."""
+    """Return an operation that deletes a key, if it exists, or all keys from it to before `end`."""
     return {"request_delete_range": {"key": _base64(key), "range_end": _base64(end)}}
 
 
--- a/tests/fleet/test_runners.py
+++ b/tests/fleet/test_runners.py
@@ -66,9 +66,8 @@
     withheld.hear(WorkerList(1, ListKind.FULL, [one, two]))
     withheld.set(frozenset([b"one"]))
     assert [entry.state for entry in lists[-1].entries] == [WorkerState.DRAINING, WorkerState.READY]
-    assert (
-        lists[-1].kind is ListKind.CACHED
-    )  # FULL or DELTA would state that a broken watch on discovery works again
+    # FULL or DELTA would state that a broken watch on discovery works again.
+    assert lists[-1].kind is ListKind.CACHED
     withheld.hear(WorkerList(2, ListKind.DELTA, [one]))
     assert lists[-1].entries[0].state is WorkerState.DRAINING
     withheld.hear(WorkerList(3, ListKind.DELTA, [Entry(b"one", WorkerState.GONE)]))
