--- a/pulleyroute/fleet/release.py
+++ b/pulleyroute/fleet/release.py
@@ -1,13 +1,13 @@
-"""A release: waves of restarts to another version, watched, halted and taken back. Pure.
+"""A release: restarts of the members to another version in waves; it can be halted and rolled back. No I/O.
 
-All of it stands in one record; whoever leads the group asks `step` what comes next and writes that. Times are
-the leader's own monotonic clock: a new leader counts a wave's soak and patience anew, which only makes the
-release slower. A release is in exactly one state:
+The state of a release is one record. The process that leads the group calls `step` for the next change and
+writes it. Times are the leader's own monotonic clock: a new leader counts a wave's soak and patience from its
+own start, which only makes the release slower. A release is in exactly one state:
 
     RUNNING ──▶ DONE
        │ ▲ resume
        ▼ │
-    HALTED ──▶ BACKING ──▶ BACK      (BACKING ──▶ HALTED where it is over its patience)
+    HALTED ──▶ ROLLING_BACK ──▶ ROLLED_BACK      (ROLLING_BACK ──▶ HALTED when it exceeds its patience)
 """
 
 from __future__ import annotations
@@ -20,16 +20,18 @@
 from pulleyroute.fleet.members import MemberStatus, member_statuses
 from pulleyroute.fleet.records import Health, MemberRequest, OperationRefused, Release, Snapshot
 
-TOLERANCE = 0.05  # of the share served that a part may lie under the other, or under the time before
-ENOUGH = 20  # jobs ended, for a part's service to be judged
-UNCOUNTED, TOO_FEW = -1.0, -2.0  # in place of the share served before
-COUNT_TIME = 10_000_000  # us that a release waits at its start for everybody's counts
+SERVED_SHARE_TOLERANCE = 0.05  # by which a share of jobs served may be below the one it is compared with
+MIN_JOBS_ENDED = 20  # below which no share of jobs served is compared
+UNCOUNTED, TOO_FEW = -1.0, -2.0  # values of `Release.before` without a share
+COUNT_TIMEOUT_US = 10_000_000  # that a release waits at its start for the job counts of all members
 
 
-JobCounts = tuple[int, int]  # jobs served, and ended
+JobCounts = tuple[int, int]  # jobs served, jobs ended
 
 
 class State(Enum):
+    """The state of a release; the values are stored."""
+
     RUNNING = "running"
     HALTED = "halted"
     ROLLING_BACK = "backing"
@@ -42,17 +44,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """What is to be done.
+    """A release as requested by an operator.
 
-    `waves`: how many have the new version after each, a number or a share of those meant; `at_once`: wishes
-    out at the same time; `soak` and `patience`: microseconds for each wave.
+    `waves`: how many members have the new version after each wave, as a number or a share of those selected.
+    `at_once`: requests pending at the same time. `soak`: microseconds for which a complete wave is observed.
+    `patience`: microseconds that a wave may take to complete.
     """
 
     name: str
     version: str
     waves: tuple[CountOrShare, ...]
-    zones: tuple[str, ...] = ()  # empty for all
-    of_version: str = ""  # only members of this version
+    zones: tuple[str, ...] = ()  # select members of these zones; empty for all
+    of_version: str = ""  # select members of this version; empty for all
     at_once: int = 1
     soak: int = 30_000_000
     patience: int = 300_000_000
@@ -60,13 +63,13 @@
 
 
 def new_release(plan: Plan, snapshot: Snapshot) -> Release:
-    """The record of a release that starts now; raises `Refused`.
+    """Return the record of a release that starts now; raises `OperationRefused`.
 
-    Members come in the order of their names, dealt out over the zones so that each wave meets all of them.
+    Members are taken in turn from each zone, by name within a zone, so that a wave is spread over the zones.
     """
     if snapshot.release is not None and snapshot.release.state in (*ACTIVE_STATES, State.HALTED.value):
         raise OperationRefused(
-            f"release {snapshot.release.name} is {snapshot.release.state}: take it back, or resume it"
+            f"release {snapshot.release.name} is {snapshot.release.state}: roll it back, or resume it"
         )
     zones: dict[str, list[str]] = {}
     for name, registration in sorted(snapshot.registrations.items()):
@@ -79,7 +82,7 @@
         zones.setdefault(registration.zone, []).append(name)
     missing = set(plan.zones) - {registration.zone for registration in snapshot.registrations.values()}
     if missing:
-        raise OperationRefused(f"no member stands in zone {', '.join(sorted(missing))}")
+        raise OperationRefused(f"no member is in zone {', '.join(sorted(missing))}")
     order = [
         name
         for rank in range(max(map(len, zones.values()), default=0))
@@ -87,15 +90,15 @@
         for name in names[rank : rank + 1]
     ]
     if not order:
-        raise OperationRefused("no member is meant by it")
+        raise OperationRefused("the plan selects no member")
     silent = [name for name in order if name not in snapshot.heartbeats]
     if silent:
-        raise OperationRefused(f"{', '.join(silent)} can't be reached; see `pulleyroute fleet members`")
+        raise OperationRefused(f"no heartbeat from {', '.join(silent)}; see `pulleyroute fleet members`")
     counts: list[int] = []
-    for part in plan.waves:
-        count = min(len(order), max(1, part.of(len(order))))
+    for wave in plan.waves:
+        count = min(len(order), max(1, wave.of(len(order))))
         if counts and count < counts[-1]:
-            raise OperationRefused("a wave has fewer members than the one before")
+            raise OperationRefused("a wave has fewer members than the previous one")
         if not counts or count > counts[-1]:
             counts.append(count)
     if not counts or counts[-1] < len(order):
@@ -117,116 +120,126 @@
     )
 
 
-def _sum(health: Mapping[str, Health], names: list[str]) -> JobCounts:
-    told = [health[name] for name in names if name in health]
-    return sum(each.good for each in told), sum(each.ended for each in told)
+def _sum_counts(health: Mapping[str, Health], names: list[str]) -> JobCounts:
+    reported = [health[name] for name in names if name in health]
+    return sum(each.good for each in reported), sum(each.ended for each in reported)
 
 
 @dataclass(slots=True)
 class WaveProgress:
-    """What a leader has seen itself of the wave in hand; lost with it. Times of its own clock."""
+    """What the leader has observed of the current wave. Kept in memory only; times of its clock (us).
+
+    `wave`: release, wave and state that the observations belong to. `since`: when the leader first saw it.
+    `complete_since`: since when all members of the wave have the version. `baseline`: each member's job
+    counts when the wave started, or when the member first reported them.
+    """
 
-    wave: tuple[str, int, str] = ("", -1, "")  # release, wave and state that the rest is of
+    wave: tuple[str, int, str] = ("", -1, "")
     since: int = 0
-    whole: int | None = None  # since when all of the wave have the version
-    base: dict[str, Health] = field(default_factory=dict)  # of those not changed, as the wave began
+    complete_since: int | None = None
+    baseline: dict[str, Health] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
 class ReleaseChange:
-    """What to write: the record's new state, or wishes, or both; neither where there is only to wait."""
+    """What the leader has to write: the release's new record, requests to members, both, or nothing.
+
+    `dropped`: members whose request is withdrawn. `wait`: what the release is waiting for.
+    """
 
     release: Release | None = None
     member_requests: tuple[MemberRequest, ...] = ()
-    dropped: tuple[str, ...] = ()  # members whose wish is taken back
-    wait: str = ""  # what it waits for
+    dropped: tuple[str, ...] = ()
+    wait: str = ""
 
 
-def is_updated(name: str, version: str, snapshot: Snapshot) -> bool:
-    """Whether a member serves as that version, with nothing left to do."""
-    how = (
+def serves_version(name: str, version: str, snapshot: Snapshot) -> bool:
+    """Return whether a member serves with that version and has no pending request."""
+    status = (
         member_statuses([snapshot.registrations[name]], snapshot.heartbeats, snapshot.permits)[name]
         if name in snapshot.registrations
         else None
     )
     return (
-        how is MemberStatus.SERVING
+        status is MemberStatus.SERVING
         and snapshot.heartbeats[name].version == version
         and name not in snapshot.member_requests
     )
 
 
-def step(snapshot: Snapshot, seen: WaveProgress, now: int) -> ReleaseChange:
-    """What the leader does next; `seen` is brought up to date."""
+def step(snapshot: Snapshot, progress: WaveProgress, now: int) -> ReleaseChange:
+    """Return what the leader has to write next, and update `progress`."""
     release = snapshot.release
     if release is None or release.state not in ACTIVE_STATES:
         return ReleaseChange()
     key = (release.name, release.wave, release.state)
-    if seen.wave != key:
-        seen.wave, seen.since, seen.whole = key, now, None
-        seen.base = {}
+    if progress.wave != key:
+        progress.wave, progress.since, progress.complete_since = key, now, None
+        progress.baseline = {}
     for name, health in snapshot.health.items():
-        seen.base.setdefault(name, health)  # as the wave began, or as it first told of itself
+        progress.baseline.setdefault(name, health)
     if release.state == State.ROLLING_BACK.value:
-        return _backing(release, snapshot, seen, now)
+        return _roll_back(release, snapshot, progress, now)
     if release.before == UNCOUNTED:
-        # Counts are told while a release is in hand alone: what was served before is of all processes' lives.
-        if not set(snapshot.heartbeats) <= set(snapshot.health) and now - seen.since < COUNT_TIME:
-            return ReleaseChange(wait="waits for the counts of jobs")
-        good, ended = _sum(snapshot.health, list(snapshot.health))
-        return ReleaseChange(replace(release, before=good / ended if ended >= ENOUGH else TOO_FEW))
+        # Members report job counts only during a release, so that the share served before the release covers
+        # the lifetime of every process.
+        if not set(snapshot.heartbeats) <= set(snapshot.health) and now - progress.since < COUNT_TIMEOUT_US:
+            return ReleaseChange(wait="waiting for job counts")
+        good, ended = _sum_counts(snapshot.health, list(snapshot.health))
+        return ReleaseChange(replace(release, before=good / ended if ended >= MIN_JOBS_ENDED else TOO_FEW))
     target = release.members[: release.counts[release.wave]]
-    parts = _parts(release, snapshot, seen)
-    bad = _blamed(release, *parts)
-    if bad is not None:
-        return _fail(release, snapshot, bad)
-    waiting = [name for name in target if not is_updated(name, release.version, snapshot)]
+    counts = _counts_by_version(release, snapshot, progress)
+    regression = _regression(release, *counts)
+    if regression is not None:
+        return _fail(release, snapshot, regression)
+    waiting = [name for name in target if not serves_version(name, release.version, snapshot)]
     if waiting:
-        seen.whole = None
-        if now - seen.since > release.patience:
+        progress.complete_since = None
+        if now - progress.since > release.patience:
             return _fail(
                 release,
                 snapshot,
                 f"wave {release.wave + 1} is over its patience: "
                 f"{', '.join(waiting)} did not come back as {release.version}",
             )
-        return _wish(release, snapshot, [(name, release.version) for name in waiting])
-    if seen.whole is None:
-        seen.whole = now
-    if now - seen.whole < release.soak:
+        return _request_restarts(release, snapshot, [(name, release.version) for name in waiting])
+    if progress.complete_since is None:
+        progress.complete_since = now
+    if now - progress.complete_since < release.soak:
         return ReleaseChange(wait="soaking")
-    if _slow(release, *parts):
-        # A slowdown that all share is not the release's; but nothing is started on top of it.
-        return ReleaseChange(wait="service is low everywhere")
+    if _is_degraded(release, *counts):
+        # A degradation on both versions isn't attributed to the release, but no wave is started during it.
+        return ReleaseChange(wait="share of jobs served is low on both versions")
     if release.wave + 1 < len(release.counts):
         return ReleaseChange(replace(release, wave=release.wave + 1))
     return ReleaseChange(replace(release, state=State.DONE.value))
 
 
-def _wish(release: Release, snapshot: Snapshot, meant: list[tuple[str, str]]) -> ReleaseChange:
-    """Want the next ones started again, so many at once."""
+def _request_restarts(release: Release, snapshot: Snapshot, targets: list[tuple[str, str]]) -> ReleaseChange:
+    """Request the restart of the next members, given as (name, version), up to `at_once` at the same time."""
     by = request_author(release)
-    out = [name for name, _ in meant if name in snapshot.member_requests]
-    room = release.at_once - len(out)
+    pending = [name for name, _ in targets if name in snapshot.member_requests]
+    remaining = release.at_once - len(pending)
     new = [
         MemberRequest(name, "restart", snapshot.registrations[name].incarnation, version, by, by)
-        for name, version in meant
+        for name, version in targets
         if name in snapshot.heartbeats
         and name not in snapshot.member_requests
         and name not in snapshot.permits
-    ][: max(0, room)]
+    ][: max(0, remaining)]
     return ReleaseChange(
-        member_requests=tuple(new), wait="" if new else f"waits for {', '.join(name for name, _ in meant)}"
+        member_requests=tuple(new),
+        wait="" if new else f"waiting for {', '.join(name for name, _ in targets)}",
     )
 
 
 def request_author(release: Release) -> str:
-    """By whom its wishes are."""
+    """Return the author of the requests that a release makes."""
     return f"release {release.name}"
 
 
 def requests_without_permit(release: Release, snapshot: Snapshot) -> tuple[str, ...]:
-    """Members with a wish of this release that have no permit yet: it can be taken back."""
+    """Return the members whose request by this release has no permit yet, so that it can be withdrawn."""
     return tuple(
         name
         for name, request in snapshot.member_requests.items()
@@ -241,73 +254,87 @@
     )
 
 
-def _backing(release: Release, snapshot: Snapshot, seen: WaveProgress, now: int) -> ReleaseChange:
-    was = dict(zip(release.members, release.previous, strict=True))
-    waiting = [name for name in reversed(release.members) if not is_updated(name, was[name], snapshot)]
+def _roll_back(release: Release, snapshot: Snapshot, progress: WaveProgress, now: int) -> ReleaseChange:
+    previous = dict(zip(release.members, release.previous, strict=True))
+    waiting = [
+        name for name in reversed(release.members) if not serves_version(name, previous[name], snapshot)
+    ]
     if not waiting:
         return ReleaseChange(replace(release, state=State.ROLLED_BACK.value))
-    if now - seen.since > release.patience:
+    if now - progress.since > release.patience:
         versions = {name: heartbeat.version for name, heartbeat in snapshot.heartbeats.items()}
-        stand = ", ".join(f"{name} as {versions.get(name, 'nobody knows what')}" for name in waiting)
-        why = f"the way back is over its patience: {stand}"
+        running = ", ".join(f"{name} as {versions.get(name, 'nobody knows what')}" for name in waiting)
+        why = f"the way back is over its patience: {running}"
         return ReleaseChange(
             replace(release, state=State.HALTED.value, why=why),
             dropped=requests_without_permit(release, snapshot),
         )
-    wrong = [
+    outdated = [
         name
         for name in waiting
         if name in snapshot.member_requests
         and name not in snapshot.permits
-        and snapshot.member_requests[name].version != was[name]
+        and snapshot.member_requests[name].version != previous[name]
     ]
-    if wrong:
-        return ReleaseChange(dropped=tuple(wrong))
-    return _wish(release, snapshot, [(name, was[name]) for name in waiting])
+    if outdated:
+        return ReleaseChange(dropped=tuple(outdated))
+    return _request_restarts(release, snapshot, [(name, previous[name]) for name in waiting])
 
 
-def _parts(release: Release, snapshot: Snapshot, seen: WaveProgress) -> tuple[JobCounts, JobCounts]:
-    """Jobs served and ended: by those that have the version, and by the others since the wave began."""
+def _counts_by_version(
+    release: Release, snapshot: Snapshot, progress: WaveProgress
+) -> tuple[JobCounts, JobCounts]:
+    """Return the job counts of updated members, and those of the others since the wave started."""
     target = set(release.members[: release.counts[release.wave]])
     new = [
         name
         for name, heartbeat in snapshot.heartbeats.items()
-        if heartbeat.version == release.version and name in target and _present(name, snapshot)
+        if heartbeat.version == release.version and name in target and _counts_are_current(name, snapshot)
     ]
     old = [
         name
         for name in snapshot.registrations
         if name not in target
         and name in snapshot.health
-        and name in seen.base
-        and snapshot.health[name].incarnation == seen.base[name].incarnation
+        and name in progress.baseline
+        and snapshot.health[name].incarnation == progress.baseline[name].incarnation
     ]
-    good = sum(snapshot.health[name].good - seen.base[name].good for name in old)
-    ended = sum(snapshot.health[name].ended - seen.base[name].ended for name in old)
-    return _sum(snapshot.health, new), (good, ended)
+    good = sum(snapshot.health[name].good - progress.baseline[name].good for name in old)
+    ended = sum(snapshot.health[name].ended - progress.baseline[name].ended for name in old)
+    return _sum_counts(snapshot.health, new), (good, ended)
 
 
-def _present(name: str, snapshot: Snapshot) -> bool:
-    """Guards against the counts of the process before: they are of the old version."""
+def _counts_are_current(name: str, snapshot: Snapshot) -> bool:
+    """Return whether a member's counts are of its current process: an earlier one had the old version."""
     health, heartbeat = snapshot.health.get(name), snapshot.heartbeats.get(name)
     return health is not None and heartbeat is not None and health.incarnation == heartbeat.incarnation
 
 
-def _blamed(release: Release, new: JobCounts, others: JobCounts) -> str | None:
-    """Why the new version is to blame: its part serves less than before, and less than the others do now."""
+def _regression(release: Release, new: JobCounts, others: JobCounts) -> str | None:
+    """Return why the new version counts as failing; None if it doesn't.
+
+    Its share of jobs served has to be below that before the release, and below that of the other members now.
+    """
     (good, ended), (other_good, other_ended) = new, others
-    if ended < ENOUGH:
+    if ended < MIN_JOBS_ENDED:
         return None
     share = good / ended
-    bounds = [release.before] if release.before >= 0 else []
-    if other_ended >= ENOUGH:
-        # Guards against blame for a slowdown that all share.
-        bounds.append(other_good / other_ended)
-    if not bounds or share >= min(bounds) - TOLERANCE:
+    expected = [release.before] if release.before >= 0 else []
+    if other_ended >= MIN_JOBS_ENDED:
+        # A degradation that affects both versions isn't caused by the new one.
+        expected.append(other_good / other_ended)
+    if not expected or share >= min(expected) - SERVED_SHARE_TOLERANCE:
         return None
-    return f"{release.version} serves {share:.2f} of its jobs, where {min(bounds):.2f} were served without it"
+    return (
+        f"{release.version} serves {share:.2f} of its jobs, where {min(expected):.2f} were served without it"
+    )
 
 
-def _slow(release: Release, new: JobCounts, others: JobCounts) -> bool:
+def _is_degraded(release: Release, new: JobCounts, others: JobCounts) -> bool:
+    """Return whether all members together serve a lower share of jobs than before the release."""
     good, ended = new[0] + others[0], new[1] + others[1]
-    return release.before >= 0 and ended >= ENOUGH and good / ended < release.before - TOLERANCE
+    return (
+        release.before >= 0
+        and ended >= MIN_JOBS_ENDED
+        and good / ended < release.before - SERVED_SHARE_TOLERANCE
+    )
