--- a/pulleyroute/fleet/operate.py
+++ b/pulleyroute/fleet/operate.py
@@ -1,7 +1,8 @@
-"""What an operator does to a fleet: each a transaction on the store, from any machine.
+"""Operators' commands to a fleet: each is one transaction on the store, and may be given on any machine.
 
-The last word wins by revision; who said it, when and why goes into the history. Coroutines of the loop that
-raise `store.Lost` or `store.Turned`, and `Refused` for what can't be done.
+Of several commands the last one by revision takes effect. Author, time and reason are written to the history.
+All are coroutines of the loop; they raise `store.StoreUnavailable` or `store.StoreRejected`, and
+`OperationRefused` for a command that can't be carried out.
 """
 
 from __future__ import annotations
@@ -29,15 +30,15 @@
 from pulleyroute.fleet.store import Client, Item, Json, compare_unchanged, delete, item_at, put
 from pulleyroute.net.loop import Coroutine, Loop
 
-WRITE_TIME = 5_000_000  # us for one change, with its tries
-TRIES = 20  # after somebody else's change came before
+COMMIT_TIMEOUT_US = 5_000_000  # for one transaction with its retries
+MAX_ATTEMPTS = 20  # at a change, each after a concurrent change
 
-
-Change = tuple[Item, bytes | None, list[Json], list[Json]]  # a key, its new value, guards, what goes with it
+# A key as it was read, its new value or None, comparisons, and further operations of the transaction.
+Change = tuple[Item, bytes | None, list[Json], list[Json]]
 
 
 class Operator:
-    """One person's or program's hand at a group. `by`: the name that the history gets."""
+    """Gives commands to a group on behalf of a person or program. `by`: the author named in the history."""
 
     def __init__(self, loop: Loop, client: Client, group: str, by: str, seed: int) -> None:
         self._loop, self._client, self._by = loop, client, by
@@ -45,7 +46,7 @@
         self._random = Random(seed)
 
     def read_snapshot(self) -> Coroutine[tuple[Snapshot, dict[bytes, Item]]]:
-        """What stands in the store now."""
+        """Read the group's records, parsed and as items by key."""
         _, items = yield from self._client.range(self._keys.prefix, self._keys.end)
         return (
             records.parse_snapshot(self._keys, ((item.key, item.value) for item in items)),
@@ -53,9 +54,9 @@
         )
 
     def members(self) -> Coroutine[list[dict[str, Any]]]:
-        """A row for each member, in the order of their names."""
+        """Return a row for each member, by name."""
         snapshot, _ = yield from self.read_snapshot()
-        known_as = statuses(snapshot)
+        status_of = statuses(snapshot)
         rows = []
         for name, registration in sorted(snapshot.registrations.items()):
             heartbeat, request = snapshot.heartbeats.get(name), snapshot.member_requests.get(name)
@@ -66,9 +67,9 @@
                     "region": registration.region,
                     "incarnation": registration.incarnation,
                     "version": heartbeat.version if heartbeat is not None else "",
-                    "standing": known_as[name].value,
+                    "standing": status_of[name].value,
                     "phase": heartbeat.phase if heartbeat is not None else "",
-                    "out": known_as[name] is not MemberStatus.SERVING,
+                    "out": status_of[name] is not MemberStatus.SERVING,
                     "permit": name in snapshot.permits,
                     "wish": request.do if request is not None else "",
                     "why": request.why if request is not None else "",
@@ -77,19 +78,19 @@
         return rows
 
     def history(self) -> Coroutine[list[Event]]:
-        """What was done, the oldest first."""
+        """Return the history, oldest entry first."""
         snapshot, _ = yield from self.read_snapshot()
         return snapshot.history
 
-    def drain(self, name: str, do: RequestedAction, why: str, version: str = "") -> Coroutine[None]:
-        """Want a member on standby, or started again; it goes once it has its permit."""
+    def drain(self, name: str, action: RequestedAction, why: str, version: str = "") -> Coroutine[None]:
+        """Request standby or a restart of a member, which complies once it has a permit."""
 
         def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
             registration = snapshot.registrations.get(name)
             if registration is None:
-                there = ", ".join(sorted(snapshot.registrations)) or "nobody is"
-                raise OperationRefused(f"{name} is not in this fleet: {there}")
-            request = MemberRequest(name, do, registration.incarnation, version, self._by, why)
+                members = ", ".join(sorted(snapshot.registrations)) or "none"
+                raise OperationRefused(f"{name} is not a member of this fleet; members: {members}")
+            request = MemberRequest(name, action, registration.incarnation, version, self._by, why)
             value = self._value(**request.record_values())
             return (
                 self._item(items, "wish", name),
@@ -98,29 +99,29 @@
                 [],
             )
 
-        yield from self._change(f"{do} {name}", why, change)
+        yield from self._change(f"{action} {name}", why, change)
 
     def undrain(self, name: str, why: str) -> Coroutine[None]:
-        """Want it back; nothing is left to do where nobody wanted it out."""
+        """Withdraw the request to a member; raises `OperationRefused` if there is none."""
 
         def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
             if name not in snapshot.member_requests:
-                raise OperationRefused(f"nobody wants {name} out")
+                raise OperationRefused(f"no standby or restart of {name} is requested")
             return self._item(items, "wish", name), None, [], []
 
         yield from self._change(f"undrain {name}", why, change)
 
     def forget(self, name: str, why: str) -> Coroutine[None]:
-        """Say that a member is gone for good: its seat, its permit and what was wanted of it go.
+        """Remove a member that is gone for good: its registration, its permit and the request to it.
 
-        Guards nothing: whoever says it of a process that still runs breaks the limits by one.
+        Nothing protects the limits here: if the process still runs, one member more than allowed may be out.
         """
 
         def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
             if name not in snapshot.registrations:
-                raise OperationRefused(f"{name} is not in this fleet")
+                raise OperationRefused(f"{name} is not a member of this fleet")
             if name in snapshot.heartbeats:
-                raise OperationRefused(f"{name} is there: its process has spoken within its lease")
+                raise OperationRefused(f"{name} is running: its process has a current heartbeat")
             return (
                 self._item(items, "seat", name),
                 None,
@@ -137,79 +138,85 @@
     # Runners
 
     def runners(self) -> Coroutine[list[dict[str, Any]]]:
-        """A row for each runner that is drained or wanted so."""
+        """Return a row for each runner that is drained or whose drain is requested."""
         snapshot, _ = yield from self.read_snapshot()
         rows = []
         for pool, runner in sorted(set(snapshot.runner_requests) | set(snapshot.runner_drains)):
-            marked = (pool, runner) in snapshot.runner_drains
-            waits = unconfirmed(snapshot, pool, runner) if marked else []
+            in_effect = (pool, runner) in snapshot.runner_drains
+            waits = unconfirmed(snapshot, pool, runner) if in_effect else []
             rows.append(
                 {
                     "pool": pool,
                     "name": runner,
                     "by": snapshot.runner_requests.get((pool, runner), RunnerDrain("")).by,
                     "why": snapshot.runner_requests.get((pool, runner), RunnerDrain("")).why,
-                    "state": "wanted" if not marked else "draining" if waits else "drained",
+                    "state": "wanted" if not in_effect else "draining" if waits else "drained",
                     "waits": waits,
                 }
             )
         return rows
 
     def drain_runner(self, pool: str, runner: str, why: str) -> Coroutine[None]:
-        """Want a runner drained; it is marked once the limits allow it."""
+        """Request the drain of a runner, which takes effect once the limits allow it."""
 
         def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
             if not snapshot.registrations:
-                raise OperationRefused("nobody is in this fleet")
+                raise OperationRefused("this fleet has no members")
             return self._item(items, "want", pool, runner), self._value(by=self._by, why=why), [], []
 
         yield from self._change(f"want {pool}/{runner} drained", why, change)
 
     def undrain_runner(self, pool: str, runner: str, why: str) -> Coroutine[None]:
-        """Give it work again."""
+        """End the drain of a runner, or withdraw the request for it."""
 
         def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
-            mark, want = self._item(items, "mark", pool, runner), self._item(items, "want", pool, runner)
-            if mark.value is None and want.value is None:
-                raise OperationRefused(f"nobody wants {runner} of pool {pool} drained")
-            # One operation for all members: the store turns down a transaction of more than 128 of them.
+            drain, request = self._item(items, "mark", pool, runner), self._item(items, "want", pool, runner)
+            if drain.value is None and request.value is None:
+                raise OperationRefused(f"no drain of {runner} of pool {pool} is requested")
+            # A range, and not one operation a member: the store rejects transactions of over 128 operations.
             acks = delete(*self._keys.below("ack", pool, runner))
             extra_operations = [put(self._keys.runner_generation, self._value()), acks]
-            # Guards against a mark that is made meanwhile: it would be left without anybody who wants it.
-            return want, None, [compare_unchanged(mark)], [*extra_operations, delete(mark.key)]
+            # The comparison fails if the runner is marked as drained meanwhile. Such a drain would remain
+            # without a request.
+            return request, None, [compare_unchanged(drain)], [*extra_operations, delete(drain.key)]
 
         yield from self._change(f"undrain {pool}/{runner}", why, change)
 
     # Releases
 
     def start_release(self, plan: release.Plan) -> Coroutine[Release]:
-        """Start a release; raises `Refused` where it can't be carried out."""
-        told: list[Release] = []
+        """Start a release and return its record; raises `OperationRefused` if it can't be carried out."""
+        started: list[Release] = []
 
         def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
-            told[:] = [release.new_release(plan, snapshot)]
-            return item_at(items, self._keys.release), self._value(**records.release_values(told[0])), [], []
+            started[:] = [release.new_release(plan, snapshot)]
+            return (
+                item_at(items, self._keys.release),
+                self._value(**records.release_values(started[0])),
+                [],
+                [],
+            )
 
         yield from self._change(f"release {plan.name}: start", plan.version, change)
-        return told[0]
+        return started[0]
 
     def change_release_state(self, to: release.State, why: str) -> Coroutine[None]:
-        """Halt, resume or take back the release in hand; the last word wins."""
-        come_from = {
+        """Halt, resume or roll back the current release; the last command takes effect."""
+        allowed_from = {
             release.State.HALTED: ("running", "backing"),
             release.State.RUNNING: ("halted",),
             release.State.ROLLING_BACK: ("running", "halted", "done"),
         }[to]
 
         def change(snapshot: Snapshot, items: dict[bytes, Item]) -> Change:
-            now = snapshot.release
-            if now is None or now.state not in come_from:
+            current = snapshot.release
+            if current is None or current.state not in allowed_from:
                 raise OperationRefused(
-                    "no release is in hand" if now is None else f"release {now.name} is {now.state}"
+                    "there is no release" if current is None else f"release {current.name} is {current.state}"
                 )
-            # Wishes that have no permit yet are not carried out any more.
-            dropped = release.requests_without_permit(now, snapshot)
-            value = self._value(**records.release_values(replace(now, state=to.value, why=why)))
+            # Requests of the release that have no permit yet are withdrawn.
+            dropped = release.requests_without_permit(current, snapshot)
+            value = self._value(**records.release_values(replace(current, state=to.value, why=why)))
             return (
                 item_at(items, self._keys.release),
                 value,
@@ -228,18 +235,18 @@
     def _change(
         self, what: str, why: str, change: Callable[[Snapshot, dict[bytes, Item]], Change]
     ) -> Coroutine[None]:
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             snapshot, items = yield from self.read_snapshot()
             item, value, compares, extra_operations = change(snapshot, items)
             at = time.time_ns() // 1_000_000
-            line = records.history_entry(self._keys, at, self._by, what, why, self._random.getrandbits(32))
+            entry = records.history_entry(self._keys, at, self._by, what, why, self._random.getrandbits(32))
             other = yield from self._client.commit(
                 item,
                 value,
-                self._loop.now() + WRITE_TIME,
+                self._loop.now() + COMMIT_TIMEOUT_US,
                 compares=compares,
-                extra_operations=[*extra_operations, put(*line)],
+                extra_operations=[*extra_operations, put(*entry)],
             )
             if other is None:
                 return
-        raise OperationRefused("the records change too fast; nothing was done")
+        raise OperationRefused("too many concurrent changes of the records; nothing was done")
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -150,7 +150,7 @@
     fleet.do(fleet.operator.drain("b", "standby", ""))
     fleet.skip(12)  # its lease is over
     assert fleet.rows()["a"]["standing"] == "on a permit" and fleet.services["b"].phase is Phase.SERVING
-    with pytest.raises(OperationRefused, match="c is there"):
+    with pytest.raises(OperationRefused, match="c is running"):
         fleet.do(fleet.operator.forget("c", ""))
     fleet.do(fleet.operator.forget("a", "the machine burnt"))
     fleet.until(lambda: "b" in fleet.out())
@@ -297,7 +297,7 @@
     fleet.do(fleet.operator.undrain_runner("p", "r1", ""))
     fleet.until(lambda: runner_states(fleet) == {"r2": ("drained", [])})
     assert fleet.services["a"].marked == {("p", "r2")}
-    with pytest.raises(OperationRefused, match="nobody wants r1"):
+    with pytest.raises(OperationRefused, match="no drain of r1 of pool p is requested"):
         fleet.do(fleet.operator.undrain_runner("p", "r1", ""))
 
 
--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -103,9 +103,9 @@
         path = str(written(tmp_path, f'fleet {{\nstore = ["{address}"]\n}}\n'))
         assert run("members", "--config", path, "--json") == (0, "[]\n")
         code, text = run("drain", "d1", "--config", path)
-        assert code == 1 and "d1 is not in this fleet: nobody is" in text
+        assert code == 1 and "d1 is not a member of this fleet; members: none" in text
         code, text = run("undrain", "r1", "--pool", "boxes", "--config", path)
-        assert code == 1 and "nobody wants r1 of pool boxes drained" in text
+        assert code == 1 and "no drain of r1 of pool boxes is requested" in text
         assert json.loads(run("history", "--config", path, "--json")[1]) == []
     finally:
         store.kill()
--- a/tests/fleet/test_release.py
+++ b/tests/fleet/test_release.py
@@ -278,7 +278,7 @@
 def test_a_manual_halt_and_resume_and_commands_that_are_refused(fleet):
     together(fleet, *"abcd")
     platform = Platform(fleet)
-    with pytest.raises(OperationRefused, match="no release is in hand"):
+    with pytest.raises(OperationRefused, match="there is no release"):
         fleet.do(fleet.operator.change_release_state(State.HALTED, ""))
     fleet.do(fleet.operator.start_release(PLAN))
     platform.run(lambda: platform.release().wave == 1)
