--- a/pulleyroute/fleet/agent.py
+++ b/pulleyroute/fleet/agent.py
@@ -1,8 +1,8 @@
-"""Joins a running service to its fleet: seat, word, permit, and what they let it do.
+"""Joins a running service to its fleet: registration, heartbeats, and requests carried out under a permit.
 
-The one place of I/O: it keeps a mirror of the group's records, asks `drains.step` what comes next, and
-carries that out. The service never waits for it. Whatever the store does, jobs go on; without it this
-process neither goes out in a planned way nor changes anything.
+The agent mirrors the group's records, gets its next step from `drains.step` and carries it out; all decisions
+are made by code without I/O. The service never waits for the agent and goes on with its jobs whatever happens
+to the store. Without the store the process neither leaves service on request nor writes any record.
 """
 
 from __future__ import annotations
@@ -37,21 +37,21 @@
 from pulleyroute.net.lifecycle import NEVER, Phase
 from pulleyroute.net.loop import Coroutine, Loop, Task, Wait
 
-WATCH_TIMEOUT_US = 10_000_000  # us after which a watch that tells nothing counts as broken
-WRITE_TIME = 3_000_000  # for one change, with its tries
-RACE_PAUSE, LONGEST_RACE = 20_000, 1_000_000  # after a change that somebody else's came before
-LOST_PAUSE, LONGEST_LOST = 100_000, 3_000_000  # between tries to reach the store
-BEATS = 3  # times that a lease is extended within its time
-HISTORY = 1000  # lines that are kept
-OLD_AT_ONCE = 4  # older ones that go with each new one
-HEALTH_INTERVAL_US = 2_000_000  # between two words on its jobs, while a release is in hand
-BUSY_LOOK = 100_000  # between two looks at what is still out at a marked runner
-FRESH = 1_000_000  # a permit is acted on within this time of a reading of the store, else read anew
+WATCH_TIMEOUT_US = 10_000_000  # after which a watch without messages counts as broken
+COMMIT_TIMEOUT_US = 3_000_000  # for one transaction with its retries
+MIN_CONFLICT_PAUSE_US, MAX_CONFLICT_PAUSE_US = 20_000, 1_000_000  # after a conflict with another change
+MIN_RECONNECT_PAUSE_US, MAX_RECONNECT_PAUSE_US = 100_000, 3_000_000  # between attempts to reach the store
+EXTENSIONS_PER_LEASE = 3  # a lease is extended each time this part of it has passed
+HISTORY_ENTRIES = 1000  # that are kept
+HISTORY_ENTRIES_DELETED = 4  # at most, with each new one
+HEALTH_INTERVAL_US = 2_000_000  # between reports of job counts during a release
+BUSY_CHECK_INTERVAL_US = 100_000  # between checks for work left at a drained runner
+MAX_SNAPSHOT_AGE_US = 1_000_000  # of the records on which a process leaves service; older ones are read again
 
 
 @dataclass(slots=True, frozen=True)
 class MemberSettings:
-    """Where a process stands in its fleet, from the settings. `lease`: seconds."""
+    """A process's place in its fleet and the limits, from the configuration. `lease`: seconds."""
 
     group: str
     member: str
@@ -64,7 +64,13 @@
 
 
 class ManagedService(Protocol):
-    """The service that the agent speaks for."""
+    """The service that the agent represents in the fleet.
+
+    `standby` and `active` change its phase; `leave` ends the process, so that the platform starts it with the
+    version. `runners` returns a pool's runners as reported by discovery, None for an unknown pool. `withhold`
+    replaces the set of runners that get no new work. `busy` returns whether work is left at a runner. `jobs`
+    returns how many jobs were served and how many have ended since the start.
+    """
 
     @property
     def phase(self) -> Phase: ...
@@ -72,13 +78,13 @@
     def active(self) -> None: ...
     def leave(self, version: str) -> None: ...
     def runners(self, pool: str) -> list[Runner] | None: ...
-    def withhold(self, marked: set[records.RunnerKey]) -> None: ...
+    def withhold(self, drained: set[records.RunnerKey]) -> None: ...
     def busy(self, pool: str, runner: str) -> bool: ...
     def jobs(self) -> tuple[int, int]: ...
 
 
 class Agent:
-    """Owns the mirror, the lease and the process's records."""
+    """Owns the mirror of the group's records, the lease and the process's own records."""
 
     def __init__(
         self,
@@ -96,133 +102,136 @@
         self._token = f"{self._random.getrandbits(64):016x}"
         self._incarnation: int | None = None
         self._lease: Lease | None = None
-        self._beat_at = 0
+        self._extend_at = 0  # when the lease is to be extended
         self._mirror: dict[bytes, Item] = {}
-        self._heard_meanwhile: dict[bytes, Item] | None = None  # by the watch, while the whole is read
-        self._read_at = 0  # the revision of the last reading of the whole
-        self._fresh_at = 0  # when it was asked for
-        self._snapshot: Snapshot | None = None  # of the mirror; None once that has changed
-        self._unreadable: set[str] = set()
+        self._updates_during_read: dict[bytes, Item] | None = (
+            None  # from the watch; None if no read is running
+        )
+        self._read_revision = 0  # of the last read of all records
+        self._read_requested_at = 0  # time of its request
+        self._snapshot: Snapshot | None = None  # of the mirror; None if that has changed since
+        self._unreadable: set[str] = set()  # keys that were logged as unreadable
         self._watch: Task | None = None
-        self._broken: Exception | None = None  # how the watch ended
+        self._watch_error: Exception | None = None  # that ended the watch
         self._idle = self._changed = False
-        self._planned = False  # on standby by a wish
-        self._seen = release.WaveProgress()
-        self._health_at = 0  # when the next word on its jobs is due
-        self._marked: set[records.RunnerKey] = set()
-        self._look_at = NEVER  # when to look again at what is still out at marked runners
-        self._cut = False  # the store can't be reached, and the log says so
-        self._count = 0
-        self._race = Backoff(RACE_PAUSE, LONGEST_RACE, self._random)
-        self._why = ""  # what was last told of a wish that waits
-        self._task = Task(loop, self._living(), "fleet")
+        self._planned = False  # on standby because of a request
+        self._wave_progress = release.WaveProgress()
+        self._health_at = 0  # when job counts are to be reported next
+        self._withheld: set[records.RunnerKey] = set()
+        self._check_at = NEVER  # when drained runners or the release are to be checked again
+        self._disconnected = False  # the store can't be reached, and this has been logged
+        self._values_written = 0
+        self._conflicts = Backoff(MIN_CONFLICT_PAUSE_US, MAX_CONFLICT_PAUSE_US, self._random)
+        self._logged_reason = ""  # of the last step
+        self._task = Task(loop, self._run(), "fleet")
 
     def start(self) -> None:
+        """Start the agent's task."""
         self._task.start()
 
     def on_phase_change(self) -> None:
-        """The service has changed its phase."""
+        """Report the service's new phase; to be called after each change of it."""
         self._changed = True
         if self._idle:
-            # Guards calls in hand: a nudge ends whatever wait the task is in.
+            # Waking the task ends whatever wait it is in, and during a call that would abort the call.
             self._task.wake()
 
-    # The store, met and lost
+    # Connection to the store
 
-    def _living(self) -> Coroutine[None]:
-        pause = Backoff(LOST_PAUSE, LONGEST_LOST, self._random)
-        watches = Backoff(LOST_PAUSE, LONGEST_LOST, self._random)
+    def _run(self) -> Coroutine[None]:
+        pause = Backoff(MIN_RECONNECT_PAUSE_US, MAX_RECONNECT_PAUSE_US, self._random)
+        short_sessions = Backoff(MIN_RECONNECT_PAUSE_US, MAX_RECONNECT_PAUSE_US, self._random)
         while True:
-            began = self._loop.now()
+            started_at = self._loop.now()
             try:
                 yield from self._session(pause)
-                if self._loop.now() - began < LONGEST_LOST:
-                    # Guards the store: one that answers and lets no watch stand would be read without end.
-                    yield Wait(until=self._loop.now() + watches.failed())
+                if self._loop.now() - started_at < MAX_RECONNECT_PAUSE_US:
+                    # A store that answers but ends every watch would otherwise be read without a pause.
+                    yield Wait(until=self._loop.now() + short_sessions.failed())
                 else:
-                    watches.succeeded()
+                    short_sessions.succeeded()
             except (StoreUnavailable, StoreRejected) as exc:
                 if isinstance(exc, StoreRejected):
-                    self._lease = None  # a store that was started anew knows the lease no more
-                if not self._cut:
-                    self._cut = True
+                    self._lease = None  # a store that lost its data doesn't know the lease
+                if not self._disconnected:
+                    self._disconnected = True
                     logger.bind(event="fleet.lost").warning(
-                        "fleet: the store can't be reached, nothing planned happens meanwhile: {}", exc
+                        "fleet: store unavailable, requests are not carried out until it returns: {}", exc
                     )
-                # Guards the store's return against all members at once.
+                # The random pause keeps the members from reconnecting all at once.
                 yield Wait(until=self._loop.now() + pause.failed())
             except Compacted:
-                pass  # the whole is read anew
+                pass  # the next session reads all records again
             finally:
                 if self._watch is not None:
                     self._watch.cancel()
                     self._watch = None
 
     def _session(self, pause: Backoff) -> Coroutine[None]:
-        yield from self._read()
+        yield from self._read_all()
         pause.succeeded()
-        if self._cut:
-            self._cut = False
-            logger.bind(event="fleet.back").info("fleet: the store is back")
-        self._broken = None
-        self._watch = self._loop.spawn(self._watching(self._read_at + 1), "fleet watch")
-        while self._broken is None:
+        if self._disconnected:
+            self._disconnected = False
+            logger.bind(event="fleet.back").info("fleet: store available again")
+        self._watch_error = None
+        self._watch = self._loop.spawn(self._run_watch(self._read_revision + 1), "fleet watch")
+        while self._watch_error is None:
             self._changed = False
-            yield from self._keep()
-            yield from self._act()
+            yield from self._send_heartbeat()
+            yield from self._take_step()
             yield from self._drain_runners()
-            yield from self._release()
-            if not self._changed and self._broken is None:
+            yield from self._run_release()
+            if not self._changed and self._watch_error is None:
                 self._idle = True
-                yield Wait(until=min(self._beat_at, self._look_at))
+                yield Wait(until=min(self._extend_at, self._check_at))
                 self._idle = False
-        if isinstance(self._broken, Compacted):
-            raise self._broken
+        if isinstance(self._watch_error, Compacted):
+            raise self._watch_error
 
-    def _read(self) -> Coroutine[None]:
-        """The whole, as it stands."""
-        asked = self._loop.now()
-        heard = self._heard_meanwhile = {}
+    def _read_all(self) -> Coroutine[None]:
+        """Read all records of the group into the mirror."""
+        requested_at = self._loop.now()
+        updates = self._updates_during_read = {}
         try:
             revision, items = yield from self.client.range(self._keys.prefix, self._keys.end)
         finally:
-            self._heard_meanwhile = None
-        regressed = revision < self._read_at
+            self._updates_during_read = None
+        regressed = revision < self._read_revision
         if regressed:
             logger.bind(event="fleet.regressed", revision=revision).warning(
-                "fleet: the store went back from revision {} to {}", self._read_at, revision
+                "fleet: the store's revision decreased from {} to {}", self._read_revision, revision
             )
         self._mirror = {item.key: item for item in items}
         if not regressed:
-            # The watch may be ahead of the answer, and what it told meanwhile comes no second time.
-            self._mirror.update({key: item for key, item in heard.items() if item.mod_revision > revision})
-        self._read_at, self._fresh_at, self._snapshot = revision, asked, None
+            # The watch may be ahead of the answer, and doesn't repeat the updates that it has delivered.
+            self._mirror.update({key: item for key, item in updates.items() if item.mod_revision > revision})
+        self._read_revision, self._read_requested_at, self._snapshot = revision, requested_at, None
 
-    def _watching(self, start: int) -> Coroutine[None]:
+    def _run_watch(self, start: int) -> Coroutine[None]:
         try:
             yield from self.client.watch(
-                self._keys.prefix, self._keys.end, start, self._heard, WATCH_TIMEOUT_US
+                self._keys.prefix, self._keys.end, start, self._on_update, WATCH_TIMEOUT_US
             )
         except (StoreUnavailable, Compacted) as exc:
-            self._broken = exc
+            self._watch_error = exc
             self.on_phase_change()
 
-    def _heard(self, items: list[Item], revision: int) -> None:
+    def _on_update(self, items: list[Item], revision: int) -> None:
         for item in items:
-            # The last reading has what came before it.
-            if item.mod_revision > self._read_at:
+            # Updates up to its revision are contained in the last read.
+            if item.mod_revision > self._read_revision:
                 self._mirror[item.key] = item
                 self._snapshot = None
-                if self._heard_meanwhile is not None:
-                    self._heard_meanwhile[item.key] = item
+                if self._updates_during_read is not None:
+                    self._updates_during_read[item.key] = item
         if self._snapshot is None:
             self.on_phase_change()
 
-    # What is kept
+    # Records
 
     @property
     def snapshot(self) -> Snapshot:
-        """What the mirror says."""
+        """The parsed mirror."""
         if self._snapshot is None:
             self._snapshot = records.parse_snapshot(
                 self._keys, ((item.key, item.value) for item in self._mirror.values())
@@ -231,38 +240,41 @@
                 if key not in self._unreadable:
                     self._unreadable.add(key)
                     logger.bind(event="fleet.spoilt", key=key).warning(
-                        "fleet: the record {} can't be read and is passed over", key
+                        "fleet: unreadable record {} is ignored", key
                     )
         return self._snapshot
 
     def _item(self, kind: str, *names: str) -> Item:
         return item_at(self._mirror, self._keys.of(kind, *names))
 
-    def _seated(self) -> bool:
-        """Whether this process has its seat, as far as it knows."""
+    def _is_registered(self) -> bool:
+        """Return whether this process is the registered one, according to the mirror."""
         return (
             self._incarnation is not None and self.snapshot.tokens.get(self._settings.member) == self._token
         )
 
-    def _own(self) -> list[Json]:
-        """Guards everybody: a process whose seat is a newer one's changes nothing, however late it wakes."""
+    def _registration_unchanged(self) -> list[Json]:
+        """Return the comparison that every write of the process has to carry.
+
+        It keeps a process that was stalled, and replaced by a newer one meanwhile, from changing any record.
+        """
         return [compare_unchanged(self._item("seat", self._settings.member))]
 
-    def _keep(self) -> Coroutine[None]:
-        """The lease, and the word under it."""
+    def _send_heartbeat(self) -> Coroutine[None]:
+        """Obtain or extend the lease, and write the heartbeat if it is missing or outdated."""
         now = self._loop.now()
-        if self._lease is not None and now >= self._beat_at:
+        if self._lease is not None and now >= self._extend_at:
             self._lease = yield from self.client.extend(self._lease)
-            self._beat_at = now + self._settings.lease * 1_000_000 // BEATS
+            self._extend_at = now + self._settings.lease * 1_000_000 // EXTENSIONS_PER_LEASE
         if self._lease is None or not self._lease.is_valid(self._loop.now()):
             self._lease = yield from self.client.grant(self._settings.lease)
-            self._beat_at = now + self._settings.lease * 1_000_000 // BEATS
-        snapshot, me = self.snapshot, self._settings.member
-        if snapshot.tokens.get(me) != self._token:
+            self._extend_at = now + self._settings.lease * 1_000_000 // EXTENSIONS_PER_LEASE
+        snapshot, member = self.snapshot, self._settings.member
+        if snapshot.tokens.get(member) != self._token:
             return
-        # From the record, not from the answer: that of the claim may have been lost.
-        self._incarnation = snapshot.registrations[me].incarnation
-        heartbeat, item = snapshot.heartbeats.get(me), self._item("word", me)
+        # Taken from the record, since the answer to the registration may have been lost.
+        self._incarnation = snapshot.registrations[member].incarnation
+        heartbeat, item = snapshot.heartbeats.get(member), self._item("word", member)
         if (
             heartbeat is None
             or (heartbeat.incarnation, heartbeat.phase) != (self._incarnation, self._service.phase.value)
@@ -275,14 +287,14 @@
                     phase=self._service.phase.value,
                     version=self._settings.version,
                 ),
-                self._own(),
+                self._registration_unchanged(),
                 lease=self._lease.id,
             )
 
     def _value(self, **values: object) -> bytes:
-        """A record unlike any other: the store's client settles lost answers by it."""
-        self._count += 1
-        return records.encode(mark=f"{self._token}-{self._count}", **values)
+        """Return a record's value that differs from all others, as `Client.commit` requires."""
+        self._values_written += 1
+        return records.encode(mark=f"{self._token}-{self._values_written}", **values)
 
     def _write(
         self,
@@ -292,22 +304,22 @@
         extra_operations: list[Json] | None = None,
         lease: int = 0,
     ) -> Coroutine[bool]:
-        """One change, whole or not at all, and the whole read anew; False where somebody's came before."""
-        other = yield from self.client.commit(
-            item, value, self._loop.now() + WRITE_TIME, lease, compares, extra_operations
+        """Commit a transaction and read all records again; returns False if it lost to another change."""
+        current = yield from self.client.commit(
+            item, value, self._loop.now() + COMMIT_TIMEOUT_US, lease, compares, extra_operations
         )
-        yield from self._read()
+        yield from self._read_all()
         self._changed = True
-        if other is None:
-            self._race.succeeded()
+        if current is None:
+            self._conflicts.succeeded()
             return True
-        # Twelve that want the last permit ask again one after another, not all at once.
-        yield Wait(until=self._loop.now() + self._race.failed())
+        # The random pause spreads the next attempts of, say, twelve members that compete for the last permit.
+        yield Wait(until=self._loop.now() + self._conflicts.failed())
         return False
 
-    # What is done
+    # Steps
 
-    def _act(self) -> Coroutine[None]:
+    def _take_step(self) -> Coroutine[None]:
         settings = self._settings
         step = drains.step(
             settings.member,
@@ -318,60 +330,70 @@
             self.snapshot,
             settings.bounds,
         )
-        if step.action in (Action.STANDBY, Action.LEAVE) and not self._may_go():
-            # Guards the limits against a process that stood still: what it knew may have passed meanwhile.
-            yield from self._read()
+        if step.action in (Action.STANDBY, Action.LEAVE) and not self._may_leave_service():
+            # A process that was stalled may act on an old mirror, in which its permit no longer exists in the
+            # store. Leaving service on it would break the limits.
+            yield from self._read_all()
             self._changed = True
             return
-        if step.why != self._why:
-            self._why = step.why
+        if step.why != self._logged_reason:
+            self._logged_reason = step.why
             if step.why:
                 logger.bind(event="fleet.step", act=step.action.name.lower()).info(
                     "fleet: {}: {}", step.action.value, step.why
                 )
         yield from self._carry_out(step)
 
-    def _may_go(self) -> bool:
+    def _may_leave_service(self) -> bool:
         now = self._loop.now()
-        return self._lease is not None and self._lease.is_valid(now) and now - self._fresh_at < FRESH
+        return (
+            self._lease is not None
+            and self._lease.is_valid(now)
+            and now - self._read_requested_at < MAX_SNAPSHOT_AGE_US
+        )
 
     def _carry_out(self, step: Step) -> Coroutine[None]:
-        me = self._settings.member
+        member = self._settings.member
         if step.action is Action.CLAIM:
-            yield from self._claim()
+            yield from self._register()
         elif step.action is Action.ASK:
             assert self._incarnation is not None
             snapshot = self.snapshot
             compares = [
-                *self._own(),
+                *self._registration_unchanged(),
                 compare_unchanged(item_at(self._mirror, self._keys.generation)),
-                compare_unchanged(self._item("wish", me)),
+                compare_unchanged(self._item("wish", member)),
             ]
-            # The count is of one moment: whoever it rests on has to serve still when the permit is written.
+            # The members that are counted as serving have to serve still when the permit is written.
             compares += [
                 compare_unchanged(self._item("word", name)) for name in drains.serving_members(snapshot)
             ]
             if (
                 yield from self._write(
-                    self._item("permit", me),
+                    self._item("permit", member),
                     self._value(incarnation=self._incarnation),
                     compares,
-                    self._told("out", snapshot.member_requests[me].why, self._keys.generation),
+                    self._accompanying_operations(
+                        "out", snapshot.member_requests[member].why, self._keys.generation
+                    ),
                 )
             ):
-                logger.bind(event="fleet.permit").info("fleet: has a permit to be out")
+                logger.bind(event="fleet.permit").info("fleet: got a permit to leave service")
         elif step.action is Action.RETURN:
-            permit, request = self._item("permit", me), self._item("wish", me)
-            extra_operations = self._told("back", "", self._keys.generation)
+            permit, request = self._item("permit", member), self._item("wish", member)
+            extra_operations = self._accompanying_operations("back", "", self._keys.generation)
             if permit.value is not None and request.value is not None:
                 extra_operations.append(delete(request.key))
             first = permit if permit.value is not None else request
             if (
                 yield from self._write(
-                    first, None, [*self._own(), compare_unchanged(request)], extra_operations
+                    first,
+                    None,
+                    [*self._registration_unchanged(), compare_unchanged(request)],
+                    extra_operations,
                 )
             ):
-                logger.bind(event="fleet.returned").info("fleet: serves again, and has returned its permit")
+                logger.bind(event="fleet.returned").info("fleet: serving again, permit returned")
         elif step.action is Action.STANDBY:
             self._planned = True
             self._service.standby()
@@ -382,107 +404,119 @@
             self._service.leave(step.why)
 
     def _drain_runners(self) -> Coroutine[None]:
-        """Give marked runners nothing new, say when nothing is there, and mark what is wanted."""
-        snapshot, me = self.snapshot, self._settings.member
-        if set(snapshot.runner_drains) != self._marked:
-            self._marked = set(snapshot.runner_drains)
-            self._service.withhold(self._marked)
-        self._look_at = NEVER
-        if not self._seated():
+        """Withhold new work from drained runners, acknowledge their drain, and drain those requested."""
+        snapshot, member = self.snapshot, self._settings.member
+        if set(snapshot.runner_drains) != self._withheld:
+            self._withheld = set(snapshot.runner_drains)
+            self._service.withhold(self._withheld)
+        self._check_at = NEVER
+        if not self._is_registered():
             return
-        for (pool, runner), mark in sorted(snapshot.runner_drains.items()):
-            if runners.acknowledged(snapshot, pool, runner, me) or self._lease is None:
+        for (pool, runner), drain in sorted(snapshot.runner_drains.items()):
+            if runners.acknowledged(snapshot, pool, runner, member) or self._lease is None:
                 continue
             if self._service.busy(pool, runner):
-                # Guards the drain: said before its last job has ended, somebody would stop a busy machine.
-                self._look_at = self._loop.now() + BUSY_LOOK
+                # If the drain were acknowledged before the last job has ended, an operator could stop a busy
+                # runner.
+                self._check_at = self._loop.now() + BUSY_CHECK_INTERVAL_US
                 continue
             yield from self._write(
-                self._item("ack", pool, runner, me),
-                self._value(incarnation=self._incarnation, of=mark.token),
-                [*self._own(), compare_unchanged(self._item("mark", pool, runner))],
+                self._item("ack", pool, runner, member),
+                self._value(incarnation=self._incarnation, of=drain.token),
+                [*self._registration_unchanged(), compare_unchanged(self._item("mark", pool, runner))],
                 lease=self._lease.id,
             )
             return
-        if runners.coordinator(snapshot) != me:
+        if runners.coordinator(snapshot) != member:
             return
         for pool, runner in sorted(set(snapshot.runner_requests) - set(snapshot.runner_drains)):
-            there = self._service.runners(pool)
-            marked = {name for each, name in snapshot.runner_drains if each == pool}
+            listed = self._service.runners(pool)
+            drained = {name for each, name in snapshot.runner_drains if each == pool}
             if (
-                there is None
-                or runners.refusal(runner, there, marked, self._settings.runner_bounds) is not None
+                listed is None
+                or runners.refusal(runner, listed, drained, self._settings.runner_bounds) is not None
             ):
                 continue
-            want = snapshot.runner_requests[pool, runner]
-            roll = self._keys.runner_generation
+            request = snapshot.runner_requests[pool, runner]
+            generation = self._keys.runner_generation
             yield from self._write(
                 self._item("mark", pool, runner),
-                self._value(by=want.by, why=want.why),
+                self._value(by=request.by, why=request.why),
                 [
-                    *self._own(),
-                    compare_unchanged(item_at(self._mirror, roll)),
+                    *self._registration_unchanged(),
+                    compare_unchanged(item_at(self._mirror, generation)),
                     compare_unchanged(self._item("want", pool, runner)),
                 ],
-                self._told(f"drain {pool}/{runner}", want.why, roll),
+                self._accompanying_operations(f"drain {pool}/{runner}", request.why, generation),
             )
             return
 
-    def _release(self) -> Coroutine[None]:
-        """While a release is in hand: tell how one's jobs went, and lead it where nobody else does."""
-        snapshot, me, now = self.snapshot, self._settings.member, self._loop.now()
+    def _run_release(self) -> Coroutine[None]:
+        """During a release, report job counts, and lead the release if no other process does."""
+        snapshot, member, now = self.snapshot, self._settings.member, self._loop.now()
         if (
             snapshot.release is None
             or snapshot.release.state not in release.ACTIVE_STATES
             or self._lease is None
-            or not self._seated()
+            or not self._is_registered()
         ):
             return
         if now >= self._health_at:
             self._health_at = now + HEALTH_INTERVAL_US
             good, ended = self._service.jobs()
             yield from self._write(
-                self._item("health", me),
+                self._item("health", member),
                 self._value(incarnation=self._incarnation, good=good, ended=ended),
-                self._own(),
+                self._registration_unchanged(),
                 lease=self._lease.id,
             )
             return
-        self._look_at = min(self._look_at, self._health_at)
-        lead = item_at(self._mirror, self._keys.leader)
-        if lead.value is None:
-            yield from self._write(lead, self._value(token=self._token), self._own(), lease=self._lease.id)
+        self._check_at = min(self._check_at, self._health_at)
+        leader = item_at(self._mirror, self._keys.leader)
+        if leader.value is None:
+            yield from self._write(
+                leader, self._value(token=self._token), self._registration_unchanged(), lease=self._lease.id
+            )
             return
-        if snapshot.leader_token != self._token or lead.lease != self._lease.id:
+        if snapshot.leader_token != self._token or leader.lease != self._lease.id:
             return
-        move = release.step(snapshot, self._seen, now)
-        yield from self._lead(move, [compare_created(lead.key, lead.create_revision), *self._own()])
+        change = release.step(snapshot, self._wave_progress, now)
+        yield from self._write_release(
+            change, [compare_created(leader.key, leader.create_revision), *self._registration_unchanged()]
+        )
+
+    def _write_release(self, change: release.ReleaseChange, compares: list[Json]) -> Coroutine[None]:
+        """Write the release's next step.
 
-    def _lead(self, move: release.ReleaseChange, compares: list[Json]) -> Coroutine[None]:
-        """Write what comes next. The guards hold it to this leader: one that was paused changes nothing."""
+        `compares` fail if another process leads or is registered, so that a leader that was paused changes
+        nothing.
+        """
         keys = self._keys
         record = item_at(self._mirror, keys.release)
         member_requests = {
-            request.name: self._value(**request.record_values()) for request in move.member_requests
+            request.name: self._value(**request.record_values()) for request in change.member_requests
         }
-        # As they were read: an operator's wish that came meanwhile is not written over.
+        # The comparisons keep a request that an operator has made meanwhile from being overwritten.
         compares = [
             *compares,
-            *(compare_unchanged(self._item("wish", name)) for name in (*member_requests, *move.dropped)),
+            *(compare_unchanged(self._item("wish", name)) for name in (*member_requests, *change.dropped)),
         ]
         extra_operations = [put(keys.of("wish", name), value) for name, value in member_requests.items()]
-        extra_operations += [delete(keys.of("wish", name)) for name in move.dropped]
-        if move.release is not None:
-            what = f"release {move.release.name}: {move.release.state}, wave {move.release.wave + 1}"
-            logger.bind(event="fleet.release", state=move.release.state).info("fleet: {}", what)
+        extra_operations += [delete(keys.of("wish", name)) for name in change.dropped]
+        if change.release is not None:
+            what = f"release {change.release.name}: {change.release.state}, wave {change.release.wave + 1}"
+            logger.bind(event="fleet.release", state=change.release.state).info("fleet: {}", what)
             yield from self._write(
                 record,
-                self._value(**records.release_values(move.release)),
+                self._value(**records.release_values(change.release)),
                 compares,
-                [*extra_operations, *self._told(what, move.release.why, keys.generation)],
+                [
+                    *extra_operations,
+                    *self._accompanying_operations(what, change.release.why, keys.generation),
+                ],
             )
         elif extra_operations:
-            first = next(iter((*member_requests, *move.dropped)))
+            first = next(iter((*member_requests, *change.dropped)))
             yield from self._write(
                 self._item("wish", first),
                 member_requests.get(first),
@@ -490,30 +524,40 @@
                 extra_operations[1:],
             )
 
-    def _claim(self) -> Coroutine[None]:
+    def _register(self) -> Coroutine[None]:
         settings = self._settings
         registration = self.snapshot.registrations.get(settings.member)
-        number = max(registration.incarnation + 1 if registration is not None else 1, self._incarnation or 0)
-        value = self._value(incarnation=number, token=self._token, zone=settings.zone, region=settings.region)
+        incarnation = max(
+            registration.incarnation + 1 if registration is not None else 1, self._incarnation or 0
+        )
+        value = self._value(
+            incarnation=incarnation, token=self._token, zone=settings.zone, region=settings.region
+        )
         if (
             yield from self._write(
                 self._item("seat", settings.member), value, [], [put(self._keys.generation, self._value())]
             )
         ):
-            logger.bind(event="fleet.joined", incarnation=number).info(
-                "fleet: {} has the seat {} as incarnation {}", settings.group, settings.member, number
+            logger.bind(event="fleet.joined", incarnation=incarnation).info(
+                "fleet: joined group {} as member {}, incarnation {}",
+                settings.group,
+                settings.member,
+                incarnation,
             )
 
-    def _told(self, what: str, why: str, roll: bytes) -> list[Json]:
-        """What goes with every change of permits or marks: their roll, and a line of the history."""
+    def _accompanying_operations(self, what: str, why: str, generation: bytes) -> list[Json]:
+        """Return the operations that go with each change of permits or drains.
+
+        They are a put of the generation key, a new entry of the history, and deletions of old entries.
+        """
         keys = self._keys
         old = sorted(
             key
             for key, item in self._mirror.items()
             if item.value is not None and key.startswith(keys.of("history", ""))
-        )[:-HISTORY]
+        )[:-HISTORY_ENTRIES]
         return [
-            put(roll, self._value()),
+            put(generation, self._value()),
             put(
                 *records.history_entry(
                     keys,
@@ -524,5 +568,5 @@
                     self._random.getrandbits(32),
                 )
             ),
-            *(delete(key) for key in old[:OLD_AT_ONCE]),
+            *(delete(key) for key in old[:HISTORY_ENTRIES_DELETED]),
         ]
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -1,4 +1,4 @@
-"""A fleet on one loop with its store, closed in order after each test."""
+"""Fixture: a fleet on one loop with its store, which is closed after each test."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    made = Fleet(tmp_path)
-    yield made
-    made.server.close()
-    assert not made.loop.errors
+    started = Fleet(tmp_path)
+    yield started
+    started.server.close()
+    assert not started.loop.errors
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -1,4 +1,4 @@
-"""Agents, each a process of its own as far as the store can tell, on a store that fails in every way."""
+"""Agents, each of which is a process of its own to the store, on a store that fails in many ways."""
 
 import json
 
@@ -17,11 +17,11 @@
 
 
 class Service:
-    """Serves, and remembers what it was told."""
+    """A service that serves, and records the versions that it was to restart with."""
 
     def __init__(self):
-        self.phase, self.told, self.agent = Phase.SERVING, [], None
-        self.marked, self.out, self.served = set(), set(), (95, 100)
+        self.phase, self.versions, self.agent = Phase.SERVING, [], None
+        self.withheld, self.busy_at, self.job_counts = set(), set(), (95, 100)
 
     def standby(self):
         self.phase = Phase.STANDBY
@@ -33,23 +33,25 @@
 
     def leave(self, version):
         self.phase = Phase.ENDING
-        self.told.append(version)
+        self.versions.append(version)
         self.agent.on_phase_change()
 
     def runners(self, pool):
         return [Runner(f"r{i}", f"h{i % 2}", "k", True) for i in range(4)] if pool == "p" else None
 
-    def withhold(self, marked):
-        self.marked = set(marked)
+    def withhold(self, drained):
+        self.withheld = set(drained)
 
     def jobs(self):
-        return self.served
+        return self.job_counts
 
     def busy(self, pool, runner):
-        return (pool, runner) in self.out
+        return (pool, runner) in self.busy_at
 
 
 class Fleet:
+    """Agents on one loop with a manual clock, their store and an operator."""
+
     def __init__(self, tmp_path, **bounds):
         self.loop, self.log = ManualClockLoop(), tmp_path / "log"
         self.server = Server(self.loop, log=self.log)
@@ -75,15 +77,15 @@
             for _ in range(3):
                 self.loop.turn(0.0003)
 
-    def until(self, so, seconds=30):
+    def until(self, condition, seconds=30):
         for _ in range(int(seconds * 20)):
-            if so():
+            if condition():
                 return
             self.skip(0.05)
-        raise AssertionError("it did not come to be")
+        raise AssertionError("the condition was not met in time")
 
-    def do(self, what):
-        return drive(self.loop, what, lambda: self.loop.skip(10_000))
+    def do(self, coroutine):
+        return drive(self.loop, coroutine, lambda: self.loop.skip(10_000))
 
     def out(self):
         return sorted(name for name, each in self.services.items() if each.phase is not Phase.SERVING)
@@ -91,13 +93,13 @@
     def rows(self):
         return {row["name"]: row for row in self.do(self.operator.members())}
 
-    def again(self, empty=False):
-        """The store is killed and started anew."""
-        port = self.server.address
+    def restart_store(self, empty=False):
+        """Kill the store and start it again, without its data if `empty`."""
+        address = self.server.address
         self.server.close()
         if empty:
             self.log.unlink()
-        self.server = Server(self.loop, port, self.log)
+        self.server = Server(self.loop, address, self.log)
 
 
 def together(fleet, *names):
@@ -106,34 +108,34 @@
     fleet.until(lambda: sum(1 for row in fleet.rows().values() if not row["out"]) == len(names))
 
 
-def test_twelve_that_ask_at_the_same_moment_go_one_at_a_time_and_all_in_the_end(fleet):
+def test_twelve_that_request_a_permit_at_once_leave_one_at_a_time_and_all_in_the_end(fleet):
     names = [f"d{i}" for i in range(12)]
     together(fleet, *names)
     for name in names:
         fleet.do(fleet.operator.drain(name, "restart", "release", "v2"))
-    gone, most = set(), 0
+    restarted, most_out = set(), 0
     for _ in range(4000):
         fleet.skip(0.02)
         out = fleet.out()
-        most = max(most, len(out))
-        for name in out:  # the platform starts it again
-            gone.add(name)
-            assert fleet.services[name].told == ["v2"]
+        most_out = max(most_out, len(out))
+        for name in out:  # the platform restarts it
+            restarted.add(name)
+            assert fleet.services[name].versions == ["v2"]
             fleet.agents[name]._task.cancel()
             fleet.join(name)
-        if len(gone) == 12:
+        if len(restarted) == 12:
             break
-    assert most == 1 and len(gone) == 12
+    assert most_out == 1 and len(restarted) == 12
     fleet.until(lambda: not any(row["permit"] or row["wish"] for row in fleet.rows().values()))
-    whats = [event.what for event in fleet.do(fleet.operator.history())]
-    assert whats.count("out") == whats.count("back") == 12
+    entries = [event.what for event in fleet.do(fleet.operator.history())]
+    assert entries.count("out") == entries.count("back") == 12
 
 
-@pytest.mark.parametrize("lost", [1, 2, 3])
-def test_a_permit_whose_answer_was_lost_is_had_once_and_returned(fleet, lost):
+@pytest.mark.parametrize("lost_answers", [1, 2, 3])
+def test_a_permit_whose_answer_was_lost_is_granted_once_and_returned(fleet, lost_answers):
     together(fleet, "a", "b", "c")
     fleet.do(fleet.operator.drain("a", "standby", ""))
-    fleet.server.faults.lose_answers = lost
+    fleet.server.faults.lose_answers = lost_answers
     fleet.until(lambda: fleet.out() == ["a"])
     fleet.do(fleet.operator.drain("b", "standby", ""))
     fleet.skip(3)
@@ -142,13 +144,13 @@
     fleet.until(lambda: fleet.out() == ["b"])
 
 
-def test_who_crashed_while_out_keeps_its_permit_until_an_operator_says_it_is_gone(fleet):
+def test_a_member_that_crashed_while_out_keeps_its_permit_until_an_operator_forgets_it(fleet):
     together(fleet, "a", "b", "c")
     fleet.do(fleet.operator.drain("a", "standby", ""))
     fleet.until(lambda: fleet.out() == ["a"])
     fleet.agents["a"]._task.cancel()
     fleet.do(fleet.operator.drain("b", "standby", ""))
-    fleet.skip(12)  # its lease is over
+    fleet.skip(12)  # its lease has expired
     assert fleet.rows()["a"]["standing"] == "on a permit" and fleet.services["b"].phase is Phase.SERVING
     with pytest.raises(OperationRefused, match="c is running"):
         fleet.do(fleet.operator.forget("c", ""))
@@ -165,7 +167,7 @@
     assert fleet.out() == [] and fleet.rows()["a"]["standing"] == "silent"
 
 
-def test_without_the_store_nobody_newly_goes_and_all_goes_on_at_its_return(fleet):
+def test_without_the_store_no_member_leaves_service_and_requests_continue_after_its_return(fleet):
     together(fleet, "a", "b", "c")
     fleet.do(fleet.operator.drain("a", "standby", ""))
     fleet.until(lambda: fleet.out() == ["a"])
@@ -173,19 +175,19 @@
     fleet.do(fleet.operator.drain("b", "standby", ""))
     fleet.server.faults.leaderless = True
     fleet.skip(30)
-    assert fleet.out() in (["a"], [])  # back if it heard in time; b never
+    assert fleet.out() in (["a"], [])  # a has returned if it was notified in time; b stays
     fleet.server.faults.leaderless = False
     fleet.until(lambda: fleet.out() == ["b"])
 
 
 @pytest.mark.parametrize("empty", [False, True])
-def test_a_store_that_was_killed_loses_no_count(tmp_path, empty):
+def test_the_limits_hold_after_the_store_was_killed(tmp_path, empty):
     fleet = Fleet(tmp_path, size=3)
     together(fleet, "a", "b", "c")
     fleet.do(fleet.operator.drain("a", "standby", ""))
     fleet.until(lambda: fleet.out() == ["a"])
-    fleet.again(empty)
-    if empty:  # the wish is gone: it comes back by itself, and takes its seat anew
+    fleet.restart_store(empty)
+    if empty:  # the request is lost: a returns to service by itself and registers again
         fleet.until(lambda: fleet.out() == [] and len(fleet.rows()) == 3)
     else:
         fleet.until(lambda: sum(1 for row in fleet.rows().values() if not row["out"]) == 2)
@@ -193,11 +195,11 @@
     fleet.server.close()
 
 
-def test_members_of_an_empty_store_that_are_not_back_yet_count(tmp_path):
+def test_members_that_have_not_registered_again_in_an_empty_store_count(tmp_path):
     fleet = Fleet(tmp_path, size=3)
     together(fleet, "a", "b", "c")
     fleet.agents["c"]._task.cancel()
-    fleet.again(empty=True)
+    fleet.restart_store(empty=True)
     fleet.until(lambda: len(fleet.rows()) == 2)
     fleet.do(fleet.operator.drain("a", "standby", ""))
     fleet.skip(3)
@@ -205,7 +207,7 @@
     fleet.server.close()
 
 
-def test_the_older_of_two_processes_of_one_name_serves_on_and_changes_nothing(fleet):
+def test_the_older_of_two_processes_of_one_name_continues_to_serve_and_changes_nothing(fleet):
     together(fleet, "a", "b", "c")
     old = fleet.services["a"]
     new = fleet.join("a")
@@ -216,28 +218,28 @@
     assert old.phase is Phase.SERVING and fleet.rows()["a"]["phase"] == "standby"
 
 
-def test_a_process_that_stood_still_reads_the_store_before_it_goes(fleet):
-    # Guard: a permit that was forgotten meanwhile is another's by now.
+def test_a_process_that_was_stalled_reads_the_store_before_it_leaves_service(fleet):
+    # Failure: a permit that an operator removed meanwhile may have been granted to another member.
     together(fleet, "a", "b", "c")
     agent = fleet.agents["a"]
     fleet.do(fleet.operator.drain("a", "standby", ""))
     fleet.until(lambda: "a" in agent.snapshot.permits or fleet.out())
     if not fleet.out():
-        agent._fresh_at -= 60 * SECOND
-        assert not agent._may_go()
+        agent._read_requested_at -= 60 * SECOND
+        assert not agent._may_leave_service()
     fleet.until(lambda: fleet.out() == ["a"])
     agent._lease = None
-    assert not agent._may_go()
+    assert not agent._may_leave_service()
 
 
-def test_a_watch_that_falls_silent_is_noticed_and_the_whole_read_anew(fleet):
+def test_a_watch_without_messages_is_noticed_and_all_records_are_read_again(fleet):
     together(fleet, "a", "b")
     fleet.server.faults.silent_watches = True
     fleet.do(fleet.operator.drain("a", "standby", ""))
     fleet.until(lambda: fleet.out() == ["a"], 40)
 
 
-def test_a_store_that_lets_no_watch_stand_is_not_read_without_end(fleet, monkeypatch):
+def test_a_store_that_ends_every_watch_is_read_with_pauses(fleet, monkeypatch):
     together(fleet, "a")
     monkeypatch.setattr(Server, "_watching", lambda self, stream, data: iter(()))
     for stream in list(fleet.server._streams):
@@ -247,28 +249,28 @@
     assert fleet.agents["a"].client.calls - before < 60
 
 
-def test_what_the_watch_tells_while_the_whole_is_read_is_not_lost(fleet):
-    # Failure: an answer older than the watch took back what that had told, for 10 s; 50 that started together
-    # needed as long to know of each other.
+def test_updates_from_the_watch_during_a_read_are_kept(fleet):
+    # Failure: an answer older than the watch's updates overwrote them for 10 s; 50 members that started
+    # together took as long to learn of each other.
     together(fleet, "a")
     agent = fleet.agents["a"]
-    real, behind = agent.client.range, agent._read_at
-    newer = Item(agent._keys.of("word", "b"), b"{}", behind + 5, behind + 5, 1)
-    older = Item(agent._keys.of("word", "c"), b"{}", behind, behind, 1)
+    real_range, revision = agent.client.range, agent._read_revision
+    newer = Item(agent._keys.of("word", "b"), b"{}", revision + 5, revision + 5, 1)
+    older = Item(agent._keys.of("word", "c"), b"{}", revision, revision, 1)
 
-    def overtaken(start, end):
-        agent._heard([newer, older], behind + 5)
-        return (yield from real(start, end))
+    def range_after_update(start, end):
+        agent._on_update([newer, older], revision + 5)
+        return (yield from real_range(start, end))
 
-    agent.client.range = overtaken
-    drive(fleet.loop, agent._read(), lambda: fleet.loop.skip(10_000))
+    agent.client.range = range_after_update
+    drive(fleet.loop, agent._read_all(), lambda: fleet.loop.skip(10_000))
     assert agent._mirror[newer.key] == newer and older.key not in agent._mirror
-    agent.client.range = real
-    drive(fleet.loop, agent._read(), lambda: fleet.loop.skip(10_000))
+    agent.client.range = real_range
+    drive(fleet.loop, agent._read_all(), lambda: fleet.loop.skip(10_000))
     assert newer.key not in agent._mirror  # the store does not have it
 
 
-def test_a_compacted_store_is_read_anew(fleet):
+def test_a_compacted_store_is_read_again(fleet):
     together(fleet, "a", "b")
     fleet.server.faults.silent_watches = True
     for _ in range(3):
@@ -284,24 +286,24 @@
     return {row["name"]: (row["state"], row["waits"]) for row in fleet.do(fleet.operator.runners())}
 
 
-def test_a_runner_is_drained_once_everybody_has_said_so_and_one_at_a_time(fleet):
+def test_runners_are_drained_one_at_a_time_each_once_all_members_have_acknowledged(fleet):
     together(fleet, "a", "b")
-    fleet.services["b"].out = {("p", "r1")}
+    fleet.services["b"].busy_at = {("p", "r1")}
     fleet.do(fleet.operator.drain_runner("p", "r1", "disk"))
     fleet.do(fleet.operator.drain_runner("p", "r2", ""))
     fleet.until(lambda: runner_states(fleet)["r1"] == ("draining", ["b"]))
-    assert fleet.services["a"].marked == fleet.services["b"].marked == {("p", "r1")}
-    fleet.services["b"].out.clear()
+    assert fleet.services["a"].withheld == fleet.services["b"].withheld == {("p", "r1")}
+    fleet.services["b"].busy_at.clear()
     fleet.until(lambda: runner_states(fleet)["r1"] == ("drained", []))
     assert runner_states(fleet)["r2"][0] == "wanted"
     fleet.do(fleet.operator.undrain_runner("p", "r1", ""))
     fleet.until(lambda: runner_states(fleet) == {"r2": ("drained", [])})
-    assert fleet.services["a"].marked == {("p", "r2")}
+    assert fleet.services["a"].withheld == {("p", "r2")}
     with pytest.raises(OperationRefused, match="no drain of r1 of pool p is requested"):
         fleet.do(fleet.operator.undrain_runner("p", "r1", ""))
 
 
-def test_who_is_silent_keeps_a_runners_drain_unconfirmed(fleet):
+def test_a_silent_member_keeps_a_runners_drain_unconfirmed(fleet):
     together(fleet, "a", "b")
     fleet.do(fleet.operator.drain_runner("p", "r1", ""))
     fleet.until(lambda: runner_states(fleet)["r1"][0] == "drained")
@@ -318,6 +320,6 @@
     assert all(agent.client.calls - before[name] < 20 for name, agent in fleet.agents.items())
 
 
-def test_faults_are_told_over_the_stores_own_listener(fleet):
+def test_faults_are_set_over_the_stores_own_listener(fleet):
     assert fleet.server._told(json.dumps({"slow": 5}).encode())[0] == 200 and fleet.server.faults.slow == 5
     assert fleet.server._told(b'{"wrong": 1}')[0] == 400
--- a/tests/fleet/test_release.py
+++ b/tests/fleet/test_release.py
@@ -223,10 +223,10 @@
             for name in out:
                 service = self.fleet.services[name]
                 if service.phase is Phase.ENDING:
-                    version = service.told[-1]
+                    version = service.versions[-1]
                     self.fleet.agents[name]._task.cancel()
                     good = 0 if version in self.broken else 95
-                    self.fleet.join(name, version=version).served = (good, 100)
+                    self.fleet.join(name, version=version).job_counts = (good, 100)
             if until():
                 return
         raise AssertionError(self.release())
@@ -312,5 +312,5 @@
     )
     lead = agent._mirror[agent._keys.leader]
     assert fleet.do(fleet.operator._client.commit(lead, None, fleet.loop.now() + 5 * SECOND)) is None
-    fleet.do(agent._release())
+    fleet.do(agent._run_release())
     assert fleet.do(fleet.operator.read_snapshot())[0].release.wave == 0
