--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -1,4 +1,4 @@
-"""The fleet's block in a configuration, and its commands, on a store of its own process."""
+"""The fleet block of a configuration, and the fleet's commands on a store in another process."""
 
 import json
 import subprocess
@@ -29,7 +29,7 @@
 """
 
 
-def written(tmp_path, block):
+def write_config(tmp_path, block):
     path = tmp_path / "site.hcl"
     path.write_text(BASE + block)
     return path
@@ -37,7 +37,7 @@
 
 def test_a_fleet_block_is_read_and_checked(tmp_path):
     fleet = load(
-        written(
+        write_config(
             tmp_path,
             """
 fleet {
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "said"),
+    ("line", "message"),
     [
         ('store = "127.0.0.1:2379"', "fleet.store: expected a list of addresses"),
         ("store = []", "fleet.store: expected a list of addresses"),
@@ -71,27 +71,29 @@
         ("outs = 2", "fleet.outs: expected a known key"),
     ],
 )
-def test_a_bad_fleet_block_is_told_with_line_and_key(tmp_path, line, said):
+def test_a_bad_fleet_block_is_reported_with_line_and_key(tmp_path, line, message):
     store = "" if line.startswith("store") else 'store = ["127.0.0.1:2379"]\n'
-    path = written(tmp_path, f"fleet {{\n{store}{line}\n}}\n")
-    with pytest.raises(Invalid) as told:
+    path = write_config(tmp_path, f"fleet {{\n{store}{line}\n}}\n")
+    with pytest.raises(Invalid) as error:
         load(path)
-    where = BASE.count("\n") + (2 if not store else 3)
-    assert f"{path}:{where}: {said}" in str(told.value)
+    line_number = BASE.count("\n") + (2 if not store else 3)
+    assert f"{path}:{line_number}: {message}" in str(error.value)
 
 
 def run(*args):
-    done = CliRunner().invoke(app, ["fleet", *args])
-    return done.exit_code, done.output
+    result = CliRunner().invoke(app, ["fleet", *args])
+    return result.exit_code, result.output
 
 
-def test_commands_end_with_one_plain_line_where_nothing_can_be_done(tmp_path):
-    bare = written(tmp_path, "")
-    code, text = run("members", "--config", str(bare))
+def test_commands_that_fail_print_one_plain_line(tmp_path):
+    without_fleet = write_config(tmp_path, "")
+    code, text = run("members", "--config", str(without_fleet))
     assert code == 2 and "fleet: expected a block, found none" in text
-    closed = written(tmp_path, 'fleet {\nstore = ["127.0.0.1:1"]\n}\n')
-    code, text = run("members", "--config", str(closed))
-    assert code == 1 and "can't be reached" in text and "nothing was done" in text and "Traceback" not in text
+    without_store = write_config(tmp_path, 'fleet {\nstore = ["127.0.0.1:1"]\n}\n')
+    code, text = run("members", "--config", str(without_store))
+    assert (
+        code == 1 and "store unavailable" in text and "nothing was done" in text and "Traceback" not in text
+    )
 
 
 def test_commands_on_a_store(tmp_path):
@@ -100,7 +102,7 @@
     )
     try:
         address = store.stdout.readline().strip()
-        path = str(written(tmp_path, f'fleet {{\nstore = ["{address}"]\n}}\n'))
+        path = str(write_config(tmp_path, f'fleet {{\nstore = ["{address}"]\n}}\n'))
         assert run("members", "--config", path, "--json") == (0, "[]\n")
         code, text = run("drain", "d1", "--config", path)
         assert code == 1 and "d1 is not a member of this fleet; members: none" in text
