--- a/pulleyroute/grpc/back.py
+++ b/pulleyroute/grpc/back.py
@@ -230,7 +230,7 @@
                 "instance {}: could not connect: {}", instance.decode(), exc or "deadline exceeded"
             )
             if connection is not None:
-                connection.close("could not be established")
+                connection.close("no use")
             # A lack of file descriptors in this process must not count against the instance.
             limit_reached = isinstance(exc, ConnectionLimitReached)
             state.unreachable = not limit_reached
--- a/pulleyroute/grpc/front.py
+++ b/pulleyroute/grpc/front.py
@@ -143,7 +143,7 @@
         """Close a connection that carries no call; returns whether there was one."""
         for connection in self.connections:
             if not len(connection):
-                connection.close("idle connection closed to free its place")
+                connection.close("room was needed")
                 return True
         return False
 
