--- a/benchmarks/capacity/charts.py
+++ b/benchmarks/capacity/charts.py
@@ -62,7 +62,10 @@
     ratio = (last / series.sizes[0]) ** (1 / 60)
     sizes = [series.sizes[0] * ratio**step for step in range(61)]
     axes.plot(
-        sizes, [max(found.law.at(size), _least(series)) for size in sizes], "-", label=_formula(found.law)
+        sizes,
+        [max(found.law.predict(size), _least(series)) for size in sizes],
+        "-",
+        label=_formula(found.law),
     )
     if last > series.sizes[-1]:
         label = f"target: {last:,}, {last / series.sizes[-1]:.0f} times the largest measured"
--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from benchmarks.capacity import sample
-from benchmarks.capacity.cost import microseconds, traced
+from benchmarks.capacity.cost import microseconds, traced_memory
 from benchmarks.capacity.slope import Cost, Slope
 from pulleyroute import interface as api
 from pulleyroute.rules import TICK_TOKEN, Dispatcher
@@ -32,7 +32,7 @@
     return rules
 
 
-def _changing(rules: Dispatcher, entry: api.Entry) -> Callable[[], None]:
+def _make_change(rules: Dispatcher, entry: api.Entry) -> Callable[[], None]:
     states = [api.WorkerState.DRAINING, api.WorkerState.READY]
 
     def change() -> None:
@@ -43,14 +43,14 @@
     return change
 
 
-def _picking(rules: Dispatcher, job_class: int) -> Callable[[], None]:
+def _make_pick(rules: Dispatcher, job_class: int) -> Callable[[], None]:
     numbers = itertools.count(job_class * 1_000_000_000)
 
     def pick() -> None:
         number = next(numbers)
         now = rules.now + 7_576  # 132 a second
-        todo = rules.handle(now, api.JobArrived(number, job_class, 5_000_000))
-        push = next(action for action in todo if isinstance(action, api.Push))
+        actions = rules.handle(now, api.JobArrived(number, job_class, 5_000_000))
+        push = next(action for action in actions if isinstance(action, api.Push))
         rules.handle(now + 10, api.AttemptStarted(number, 0, push.worker))
         report = api.LoadReport(free_slots=3.0, in_hand=1.0, queued=0.0)
         rules.handle(now + 20, api.AttemptEnded(number, 0, push.worker, api.Outcome.OK, True, 20, report))
@@ -61,18 +61,18 @@
 def measure(size: int) -> dict[str, float]:
     """The costs at a list of so many instances."""
     listed = sample.entries(size)
-    return {**_times(listed), "memory": traced(lambda: _dispatcher(listed))[0]}
+    return {**_times(listed), "memory": traced_memory(lambda: _dispatcher(listed))[0]}
 
 
 def _times(listed: list[api.Entry]) -> dict[str, float]:
     rules = _dispatcher(listed)
     whole = api.WorkerList(2, api.ListKind.FULL, listed)
-    taken = microseconds(lambda: rules.handle(rules.now + 1, whole))
-    change = microseconds(_changing(rules, listed[0]))
+    full_list = microseconds(lambda: rules.handle(rules.now + 1, whole))
+    change = microseconds(_make_change(rules, listed[0]))
     tick = microseconds(lambda: rules.handle(rules.now + rules.tick_interval, api.TimerFired(TICK_TOKEN)))
-    pick, pick_kind = (microseconds(_picking(rules, each)) for each in (0, 1))
+    pick, pick_kind = (microseconds(_make_pick(rules, each)) for each in (0, 1))
     return {
-        "whole": taken,
+        "whole": full_list,
         "change": change,
         "tick": tick,
         "pick": pick,
--- a/benchmarks/capacity/events.py
+++ b/benchmarks/capacity/events.py
@@ -3,45 +3,54 @@
 from __future__ import annotations
 
 from benchmarks.capacity.scale import (
-    ABROAD,
     DESTINATIONS,
     DISPATCHERS,
-    HEALTH,
-    LEASE_CALLS,
-    LOST_ABROAD,
+    HEALTH_WRITES_PER_S,
+    LEASE_CALLS_PER_S,
+    LOST_REMOTE_DESTINATIONS,
     MEMBER_RECORDS,
-    NETWORK,
+    NETWORK_LIMIT,
     RACKS,
     RECORD_BYTES,
-    RECORDS_A_RESTART,
+    RECORD_CHANGES_PER_RESTART,
     REGIONS,
+    REMOTE_DESTINATIONS,
     SUBSET,
     ZONE_DESTINATIONS,
     ZONE_DISPATCHERS,
+    FittedCosts,
     Row,
-    Slopes,
 )
 
 
-def event_rows(slopes: Slopes) -> list[Row]:
+def event_rows(costs: FittedCosts) -> list[Row]:
     """The rows of the table of events; raises SeriesError where a series is missing."""
-    change, whole = slopes.at("list.change_bytes", 100), slopes.at("list.whole_bytes", DESTINATIONS)
+    change, whole = costs.cost_at("list.change_bytes", 100), costs.cost_at("list.whole_bytes", DESTINATIONS)
     taken, taken_of_mine = (
-        slopes.at("list.change", size) + slopes.at("decisions.change", size)
+        costs.cost_at("list.change", size) + costs.cost_at("decisions.change", size)
         for size in (DESTINATIONS, SUBSET)
     )
-    lost, lost_of_mine = ZONE_DESTINATIONS * change, LOST_ABROAD * change + RECORD_BYTES
+    lost, lost_of_mine = ZONE_DESTINATIONS * change, LOST_REMOTE_DESTINATIONS * change + RECORD_BYTES
     starting, cell = DISPATCHERS / REGIONS, ZONE_DISPATCHERS
-    at_once = slopes.at("list.whole", DESTINATIONS) + slopes.at("decisions.whole", DESTINATIONS)
-    mine = slopes.at("list.whole", SUBSET) + slopes.at("decisions.whole", SUBSET)
-    group, part = slopes.at("store.read_bytes", DISPATCHERS), slopes.at("store.read_bytes", MEMBER_RECORDS)
-    known = slopes.at("members.known", DISPATCHERS) + slopes.at("members.step", DISPATCHERS)
-    writes = RECORDS_A_RESTART * DISPATCHERS
-    rack, rack_of_mine = ZONE_DESTINATIONS / RACKS * change, (SUBSET - ABROAD) / RACKS * change
-    own_list, summary = whole * SUBSET / DESTINATIONS, slopes.at("list.change", 100)
+    at_once = costs.cost_at("list.whole", DESTINATIONS) + costs.cost_at("decisions.whole", DESTINATIONS)
+    mine = costs.cost_at("list.whole", SUBSET) + costs.cost_at("decisions.whole", SUBSET)
+    group, part = (
+        costs.cost_at("store.read_bytes", DISPATCHERS),
+        costs.cost_at("store.read_bytes", MEMBER_RECORDS),
+    )
+    known = costs.cost_at("members.known", DISPATCHERS) + costs.cost_at("members.step", DISPATCHERS)
+    writes = RECORD_CHANGES_PER_RESTART * DISPATCHERS
+    rack, rack_of_mine = ZONE_DESTINATIONS / RACKS * change, (SUBSET - REMOTE_DESTINATIONS) / RACKS * change
+    own_list, summary = whole * SUBSET / DESTINATIONS, costs.cost_at("list.change", 100)
     return [
         Row("rack lost: to one dispatcher", "bytes", rack, rack_of_mine, "list.change_bytes"),
-        Row("rack lost: sent at the limit", "s", rack / NETWORK, rack_of_mine / NETWORK, "list.change_bytes"),
+        Row(
+            "rack lost: sent at the limit",
+            "s",
+            rack / NETWORK_LIMIT,
+            rack_of_mine / NETWORK_LIMIT,
+            "list.change_bytes",
+        ),
         Row("zone lost: to one dispatcher", "bytes", lost, lost_of_mine, "list.change_bytes"),
         Row(
             "zone lost: to all others",
@@ -50,12 +59,18 @@
             lost_of_mine * (DISPATCHERS - cell),
             "list.change_bytes",
         ),
-        Row("zone lost: sent at the limit", "s", lost / NETWORK, lost_of_mine / NETWORK, "list.change_bytes"),
+        Row(
+            "zone lost: sent at the limit",
+            "s",
+            lost / NETWORK_LIMIT,
+            lost_of_mine / NETWORK_LIMIT,
+            "list.change_bytes",
+        ),
         Row(
             "zone lost: taken change by change",
             "s of a core",
             ZONE_DESTINATIONS * taken / 1e6,
-            LOST_ABROAD * taken_of_mine / 1e6,
+            LOST_REMOTE_DESTINATIONS * taken_of_mine / 1e6,
             "list.change, decisions.change",
         ),
         Row("a whole list taken", "s of a core", at_once / 1e6, mine / 1e6, "list.whole, decisions.whole"),
@@ -69,8 +84,8 @@
         Row(
             "a region's dispatchers started: one's list at the limit",
             "s",
-            whole / NETWORK,
-            own_list / NETWORK,
+            whole / NETWORK_LIMIT,
+            own_list / NETWORK_LIMIT,
             "list.whole_bytes",
         ),
         Row(
@@ -84,14 +99,14 @@
             "release of the fleet: records heard by one",
             "s of a core",
             writes * known / 1e6,
-            RECORDS_A_RESTART * slopes.at("store.read", MEMBER_RECORDS) / 1e6,
+            RECORD_CHANGES_PER_RESTART * costs.cost_at("store.read", MEMBER_RECORDS) / 1e6,
             "members.known, members.step",
         ),
         Row(
             "release of the fleet: counts of jobs heard by one",
             "of a core",
-            HEALTH * DISPATCHERS * known / 1e6,
-            LEASE_CALLS * cell * summary / 1e6,
+            HEALTH_WRITES_PER_S * DISPATCHERS * known / 1e6,
+            LEASE_CALLS_PER_S * cell * summary / 1e6,
             "members.known, members.step, list.change",
         ),
         Row(
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -16,7 +16,7 @@
 
 from benchmarks.capacity.series import Point, Series
 
-LEAST_SIZES = 3  # for a line with a residual
+MIN_SIZES = 3  # for a line with a residual
 
 
 class FitError(ValueError):
@@ -31,7 +31,7 @@
     slope: float
     residual: float
 
-    def at(self, size: float) -> float:
+    def predict(self, size: float) -> float:
         """The cost at a size."""
         return self.base + self.slope * size
 
@@ -44,7 +44,7 @@
     exponent: float
     residual: float
 
-    def at(self, size: float) -> float:
+    def predict(self, size: float) -> float:
         """The cost at a size."""
         return float(self.factor * size**self.exponent)
 
@@ -98,8 +98,8 @@
 def law(points: Iterable[Point]) -> Law:
     """The line, or the power law where that leaves a smaller residual; raises FitError."""
     kept = list(points)
-    straight, bent = line(kept), power(kept)
-    return straight if straight.residual <= bent.residual else bent
+    straight, curved = line(kept), power(kept)
+    return straight if straight.residual <= curved.residual else curved
 
 
 def _residual(values: np.ndarray, predicted: np.ndarray) -> float:
@@ -108,8 +108,8 @@
 
 def _arrays(points: Iterable[Point]) -> tuple[np.ndarray, np.ndarray]:
     pairs = [(point.size, point.value) for point in points]
-    if len({size for size, _ in pairs}) < LEAST_SIZES:
-        raise FitError(f"fewer than {LEAST_SIZES} sizes")
+    if len({size for size, _ in pairs}) < MIN_SIZES:
+        raise FitError(f"fewer than {MIN_SIZES} sizes")
     if any(size <= 0 or value <= 0 for size, value in pairs):
         raise FitError("a size or a value is not above 0")
     sizes, values = zip(*pairs, strict=True)
@@ -130,8 +130,8 @@
 def _prediction_error(series: Series) -> float | None:
     half = (len(series.sizes) + 1) // 2
     small, large = series.sizes[:half], series.sizes[half:]
-    if len(small) < LEAST_SIZES:
+    if len(small) < MIN_SIZES:
         return None
-    predicted = law(point for point in series.points if point.size in small).at
+    predicted = law(point for point in series.points if point.size in small).predict
     medians = _medians(series)
     return max(abs(predicted(size) - medians[size]) / medians[size] for size in large)
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -23,31 +23,31 @@
 
 from benchmarks.capacity.hollow_compare import compare
 from benchmarks.capacity.hollow_fleet import ZONES, Size
-from benchmarks.capacity.hollow_play import QUICK, Times, play
+from benchmarks.capacity.hollow_play import QUICK, Times, run_fleet
 from benchmarks.capacity.hollow_process import NoAnswer
-from benchmarks.capacity.hollow_results import Comparison, Play, Results, read_results, write_results
+from benchmarks.capacity.hollow_results import Comparison, FleetRun, Results, read_results, write_results
 from benchmarks.capacity.hollow_series import INSTANCES, series
 from benchmarks.capacity.slope import machine
 
 MEMBERS, RECORDED = [10, 30, 100], [1000, 5700]
 QUICK_MEMBERS, QUICK_RECORDED = [10], [300]
-MOST_MEMBERS, MOST_RECORDED, MOST_INSTANCES = 5700, 20_000, 100_000
-COMPARED, MOST_COMPARED = 5, 50  # real dispatchers, beside as many hollow ones
-DESCRIPTORS_A_MEMBER = 3  # two watches and a call
-RESERVE = 100  # descriptors of a process beside its members'
+MAX_MEMBERS, MAX_RECORDED, MAX_INSTANCES = 5700, 20_000, 100_000
+COMPARED, MAX_COMPARED = 5, 50  # real dispatchers, beside as many hollow ones
+DESCRIPTORS_PER_MEMBER = 3  # two watches and a call
+RESERVED_DESCRIPTORS = 100  # descriptors of a process beside its members'
 
 
-def whole(least: int, most: int) -> Callable[[str], int]:
+def integer_between(minimum: int, maximum: int) -> Callable[[str], int]:
     """A whole number within bounds, as an argument's type."""
 
     def read(text: str) -> int:
         try:
             number = int(text)
         except ValueError:
-            number = least - 1
-        if not least <= number <= most:
+            number = minimum - 1
+        if not minimum <= number <= maximum:
             raise argparse.ArgumentTypeError(
-                f"expected a whole number from {least} to {most}, found {text!r}"
+                f"expected a whole number from {minimum} to {maximum}, found {text!r}"
             )
         return number
 
@@ -60,82 +60,91 @@
         prog="python -m benchmarks.capacity.hollow",
         description="Play fleets of hollow members against stand-ins, and measure what control costs.",
     )
-    parser.add_argument("--members", type=whole(1, MOST_MEMBERS), nargs="*", metavar="N")
-    parser.add_argument("--recorded", type=whole(ZONES + 1, MOST_RECORDED), nargs="*", metavar="N")
-    parser.add_argument("--instances", type=whole(1, MOST_INSTANCES), default=INSTANCES, metavar="N")
-    parser.add_argument("--compare", type=whole(1, MOST_COMPARED), metavar="N", help="real dispatchers")
+    parser.add_argument("--members", type=integer_between(1, MAX_MEMBERS), nargs="*", metavar="N")
+    parser.add_argument("--recorded", type=integer_between(ZONES + 1, MAX_RECORDED), nargs="*", metavar="N")
+    parser.add_argument("--instances", type=integer_between(1, MAX_INSTANCES), default=INSTANCES, metavar="N")
     parser.add_argument(
-        "--live", type=whole(1, ZONES), default=ZONES, metavar="N", help="members of --recorded that live"
+        "--compare", type=integer_between(1, MAX_COMPARED), metavar="N", help="real dispatchers"
+    )
+    parser.add_argument(
+        "--live",
+        type=integer_between(1, ZONES),
+        default=ZONES,
+        metavar="N",
+        help="members of --recorded that live",
     )
     parser.add_argument("--watched", action="store_true", help="the store holds recorded members' watches")
     parser.add_argument("--quick", action="store_true", help="small sizes and short windows")
     parser.add_argument("--out", type=Path, metavar="FILE", help="JSON; plays of other sizes in it stay")
-    made = parser.parse_args(arguments)
-    chosen = made.members is not None or made.recorded is not None or made.compare is not None
+    options = parser.parse_args(arguments)
+    chosen = options.members is not None or options.recorded is not None or options.compare is not None
     if not chosen:
-        made.members, made.recorded = (QUICK_MEMBERS, QUICK_RECORDED) if made.quick else (MEMBERS, RECORDED)
-        made.compare = None if made.quick else COMPARED
-    _check_descriptors(parser, made)
-    if made.out is not None and not made.out.parent.is_dir():
-        parser.error(f"--out: there is no directory {made.out.parent}")
-    if made.out is not None:
+        options.members, options.recorded = (
+            (QUICK_MEMBERS, QUICK_RECORDED) if options.quick else (MEMBERS, RECORDED)
+        )
+        options.compare = None if options.quick else COMPARED
+    _check_descriptors(parser, options)
+    if options.out is not None and not options.out.parent.is_dir():
+        parser.error(f"--out: there is no directory {options.out.parent}")
+    if options.out is not None:
         try:
-            read_results(made.out)
+            read_results(options.out)
         except ValueError as exc:
-            parser.error(f"--out: {made.out}: not a file of this command: {exc}")
-    return made
+            parser.error(f"--out: {options.out}: not a file of this command: {exc}")
+    return options
 
 
-def _check_descriptors(parser: argparse.ArgumentParser, made: argparse.Namespace) -> None:
+def _check_descriptors(parser: argparse.ArgumentParser, options: argparse.Namespace) -> None:
     """End with an error where one process would need more descriptors than it may have."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    members = max(made.members or [0])
-    watches = max(made.recorded or [0]) if made.watched else 0
+    members = max(options.members or [0])
+    watches = max(options.recorded or [0]) if options.watched else 0
     for option, count, each in (
-        ("--members", members, DESCRIPTORS_A_MEMBER),
+        ("--members", members, DESCRIPTORS_PER_MEMBER),
         ("--recorded", watches, 1),
     ):
-        needed = count * each + RESERVE
+        needed = count * each + RESERVED_DESCRIPTORS
         if needed > limit:
             parser.error(f"{option}: {count} need {needed} descriptors, the limit is {limit}")
 
 
-def sizes(made: argparse.Namespace) -> list[Size]:
+def sizes(options: argparse.Namespace) -> list[Size]:
     """What is to be played."""
-    lives = [Size(members, 0, made.instances) for members in made.members or []]
+    lives = [Size(members, 0, options.instances) for members in options.members or []]
     records = [
-        Size(made.live, fleet - made.live, made.instances, made.watched) for fleet in made.recorded or []
+        Size(options.live, fleet - options.live, options.instances, options.watched)
+        for fleet in options.recorded or []
     ]
     return lives + records
 
 
 def main(arguments: list[str]) -> int:
     """Play what is asked for; 1 where a comparison could not be made."""
-    made = parse(arguments)
+    options = parse(arguments)
     logger.remove()
-    times = QUICK if made.quick else Times()
-    results = read_results(made.out) if made.out is not None else Results()
+    times = QUICK if options.quick else Times()
+    results = read_results(options.out) if options.out is not None else Results()
     results.machine = machine()
-    print(line(COLUMNS))
-    print(line(["---"] * len(COLUMNS)))
-    for size in sizes(made):
-        played = play(size, times)
-        print(row(played), flush=True)
-        results.add(played)
-        _keep(results, made.out)
-    if made.compare is None:
+    print(table_line(COLUMNS))
+    print(table_line(["---"] * len(COLUMNS)))
+    for size in sizes(options):
+        run = run_fleet(size, times)
+        print(table_row(run), flush=True)
+        results.add(run)
+        _save(results, options.out)
+    if options.compare is None:
         return 0
     try:
-        results.comparison = compare(made.compare, made.compare, times.window)
+        results.comparison = compare(options.compare, options.compare, times.window)
     except NoAnswer as exc:
         print(f"hollow: the comparison was not made: {exc}", file=sys.stderr)
         return 1
-    print(compared(results.comparison))
-    _keep(results, made.out)
+    print(comparison_text(results.comparison))
+    _save(results, options.out)
     return 0
 
 
-def _keep(results: Results, out: Path | None) -> None:
+def _save(results: Results, out: Path | None) -> None:
     results.series = series(results.plays, results.machine)
     if out is not None:
         write_results(results, out)
@@ -156,14 +165,14 @@
 )
 
 
-def line(cells: Sequence[str]) -> str:
+def table_line(cells: Sequence[str]) -> str:
     """A row of the table."""
     return "| " + " | ".join(cells) + " |"
 
 
-def row(played: Play) -> str:
+def table_row(run: FleetRun) -> str:
     """One play as a row of the table; rest's figures are for one live member."""
-    stages = {stage.name: stage for stage in played.stages}
+    stages = {stage.name: stage for stage in run.stages}
 
     def known(name: str) -> str:
         stage = stages.get(name)
@@ -171,10 +180,10 @@
 
     start = stages.get("start")
     registered = start.times["registered"] if start is not None else None
-    rest = played.rest
+    rest = run.rest
     cells = [
-        str(played.members + played.recorded),
-        str(played.recorded),
+        str(run.members + run.recorded),
+        str(run.recorded),
         f"{registered.p50:.2f} / {registered.p99:.2f}" if registered is not None else "-",
         *(
             [
@@ -189,16 +198,16 @@
         ),
         known("zone lost"),
         known("zone back"),
-        played.ended_by or "-",
+        run.ended_by or "-",
     ]
-    return line(cells)
+    return table_line(cells)
 
 
-def compared(made: Comparison) -> str:
+def comparison_text(comparison: Comparison) -> str:
     """The ratios of a hollow member's cost to a real one's, each window's."""
     lines = []
     for name in ("cpu", "calls", "store_bytes", "discovery_bytes"):
-        each = getattr(made, name)
+        each = getattr(comparison, name)
         ratios = ", ".join(f"{value:.2f}" for value in each.ratios)
         spread = f"{each.real_least:.2f} to {each.real_most:.2f}"
         lines.append(f"{name}: hollow over real {ratios}; single real ones over their mean {spread}")
--- a/benchmarks/capacity/hollow_commands.py
+++ b/benchmarks/capacity/hollow_commands.py
@@ -13,29 +13,29 @@
 
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Wait
 
-INPUT = 0
-CHUNK = 65_536
+STDIN_FD = 0
+READ_SIZE = 65_536
 
 
-def take_commands(loop: Loop, handle: Callable[[dict[str, Any]], dict[str, Any]]) -> Coroutine[None]:
+def read_commands(loop: Loop, handle: Callable[[dict[str, Any]], dict[str, Any]]) -> Coroutine[None]:
     """Hand each command to `handle`, and write what it returns as one line; stop the loop at the end."""
-    os.set_blocking(INPUT, False)
-    rest = b""
+    os.set_blocking(STDIN_FD, False)
+    incomplete = b""
     while True:
         try:
-            data = os.read(INPUT, CHUNK)
+            data = os.read(STDIN_FD, READ_SIZE)
         except BlockingIOError:
-            yield Wait(INPUT, READABLE)
+            yield Wait(STDIN_FD, READABLE)
             continue
         if not data:
             loop.stop()
             return
-        *lines, rest = (rest + data).split(b"\n")
+        *lines, incomplete = (incomplete + data).split(b"\n")
         for line in lines:
-            answer(handle(json.loads(line)))
+            write_answer(handle(json.loads(line)))
 
 
-def answer(value: dict[str, Any]) -> None:
+def write_answer(value: dict[str, Any]) -> None:
     """Write one line to whoever started this process."""
     sys.stdout.write(json.dumps(value) + "\n")
     sys.stdout.flush()
--- a/benchmarks/capacity/hollow_compare.py
+++ b/benchmarks/capacity/hollow_compare.py
@@ -14,9 +14,9 @@
 from benchmarks.capacity.hollow_traffic import Count
 
 WINDOWS = 3
-LOOK = 0.2  # seconds between two questions whether all know of each other
-PATIENCE = 60.0  # seconds for all to come together
-SETTLE = 5.0  # seconds
+POLL_INTERVAL_S = 0.2  # seconds between two questions whether all know of each other
+JOIN_TIMEOUT_S = 60.0  # seconds for all to come together
+SETTLE_TIME_S = 5.0  # seconds
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,23 +38,23 @@
         fleet.start_real(range(hollow, hollow + real))
         members.ask({"do": "start"})
         members.ask({"do": "expect", "serving": size.fleet, "revision": 1, "since": 0})
-        _wait(members)
-        time.sleep(SETTLE)
+        _wait_for_members(members)
+        time.sleep(SETTLE_TIME_S)
         samples = [_sample(fleet, members)]
         started = [time.monotonic()]
         for _ in range(WINDOWS):
             time.sleep(window)
             started.append(time.monotonic())
             samples.append(_sample(fleet, members))
-    return _judge(size, samples, started, empty, window)
+    return _compare_samples(size, samples, started, empty, window)
 
 
-def _wait(members: Process) -> None:
-    until = time.monotonic() + PATIENCE
+def _wait_for_members(members: Process) -> None:
+    until = time.monotonic() + JOIN_TIMEOUT_S
     while members.ask({"do": "look"})["waiting"]:
         if time.monotonic() > until:
-            raise NoAnswer(f"hollow and real members did not come together in {PATIENCE:.0f} s")
-        time.sleep(LOOK)
+            raise NoAnswer(f"hollow and real members did not come together in {JOIN_TIMEOUT_S:.0f} s")
+        time.sleep(POLL_INTERVAL_S)
 
 
 def _sample(fleet: Fleet, members: Process) -> list[_Sample]:
@@ -82,7 +82,7 @@
     return samples
 
 
-def _judge(
+def _compare_samples(
     size: Size, samples: list[list[_Sample]], started: list[float], empty: int, window: float
 ) -> Comparison:
     last = samples[-1]
--- a/benchmarks/capacity/hollow_config.py
+++ b/benchmarks/capacity/hollow_config.py
@@ -12,7 +12,7 @@
 LEASE_SECONDS = 5  # the default of the fleet block
 POOL = "boxes"
 
-TEXT = """name = "{name}"
+CONFIG_TEMPLATE = """name = "{name}"
 listener "jobs" {{
   protocol = "jobs"
   address  = "127.0.0.1:0"
@@ -54,7 +54,7 @@
 
 def config_text(number: int, members: int, zones: int, store: int, discovery: int) -> str:
     """The file of one member, which `pulleyroute serve` takes as it is."""
-    return TEXT.format(
+    return CONFIG_TEMPLATE.format(
         name=member_name(number),
         number=number,
         members=members,
--- a/benchmarks/capacity/hollow_discovery.py
+++ b/benchmarks/capacity/hollow_discovery.py
@@ -16,14 +16,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from benchmarks.capacity.hollow_commands import answer, take_commands
+from benchmarks.capacity.hollow_commands import read_commands, write_answer
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.http import ConnectionFailed, DeadlineExceeded, Malformed, Stream
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Task, Wait
 from pulleyroute.net.process import on_error
 
 BACKLOG = 4096  # the whole fleet may connect at once
-HEARTBEAT = 2_000_000  # us between two empty lines of a watch, as the protocol has it
+HEARTBEAT_INTERVAL_US = 2_000_000  # us between two empty lines of a watch, as the protocol has it
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -82,7 +82,7 @@
         members = [each.entry() for each in instances]
         return json.dumps({"revision": self._revision, "complete": complete, "members": members}).encode()
 
-    def _whole(self) -> bytes:
+    def _full_list(self) -> bytes:
         return self._list([each for each in self._instances if each.phase != "left"], complete=True)
 
     def _accept(self) -> Coroutine[None]:
@@ -107,7 +107,7 @@
             if b"watch=1" in message.target:
                 yield from self._watch(stream, int(message.target.rpartition(b"=")[2]))
             else:
-                yield from stream.answer(200, self._whole(), [], True, None)
+                yield from stream.answer(200, self._full_list(), [], True, None)
         except (ConnectionFailed, DeadlineExceeded, Malformed):
             pass
         finally:
@@ -116,20 +116,20 @@
     def _watch(self, stream: Stream, known: int) -> Coroutine[None]:
         yield from stream.send(WATCH_HEAD, None)
         if known < 1 or known > self._revision:
-            yield from stream.send(_chunk(self._whole()), None)
+            yield from stream.send(_chunk(self._full_list()), None)
             known = self._revision
         while True:
             while known < self._revision:
                 change = self._changes[known - 1]
                 known += 1
                 yield from stream.send(_chunk(change), None)
-            yield Wait(until=self._loop.now() + HEARTBEAT)
+            yield Wait(until=self._loop.now() + HEARTBEAT_INTERVAL_US)
             if known == self._revision:
                 yield from stream.send(_chunk(b""), None)
 
 
-def _chunk(word: bytes) -> bytes:
-    return b"%x\r\n%s\n\r\n" % (len(word) + 1, word)
+def _chunk(line: bytes) -> bytes:
+    return b"%x\r\n%s\n\r\n" % (len(line) + 1, line)
 
 
 def main() -> None:
@@ -140,9 +140,9 @@
     discovery = Discovery(
         loop, [Instance(f"instance-{i:07d}", f"z{i % zones}", started=now) for i in range(instances)]
     )
-    answer({"port": discovery.port})
+    write_answer({"port": discovery.port})
     loop.spawn(
-        take_commands(
+        read_commands(
             loop, lambda command: {"revision": discovery.change(command.get("zone", ""), command["phase"])}
         ),
         "commands",
--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -19,12 +19,12 @@
 from pulleyroute.fleet.records import Keys
 
 ZONES = 9
-TWO_PROCESSES = 150  # live members from which on one process does not keep up with a start
+TWO_PROCESS_MEMBERS = 150  # live members from which on one process does not keep up with a start
 RECORD_BATCH = 50  # members whose records are written in one transaction
-RECORD_LEASE = 3600  # seconds: the records of members that are only recorded stay for the play
-WATCH_TIME = 30.0  # seconds for all watches of recorded members to stand
-LOOK = 0.2  # seconds between two questions whether they do
-STORE_TIME = 30.0  # seconds for one call of the preparation
+RECORD_LEASE_S = 3600  # seconds: the records of members that are only recorded stay for the play
+WATCHES_TIMEOUT_S = 30.0  # seconds for all watches of recorded members to stand
+POLL_INTERVAL_S = 0.2  # seconds between two questions whether they do
+STORE_TIMEOUT_S = 30.0  # seconds for one call of the preparation
 
 
 @dataclass(slots=True, frozen=True)
@@ -62,7 +62,7 @@
     @property
     def processes(self) -> int:
         """Processes of live members beside the last zone's."""
-        return 1 if self.members < TWO_PROCESSES else 2
+        return 1 if self.members < TWO_PROCESS_MEMBERS else 2
 
 
 class Fleet:
@@ -70,14 +70,14 @@
 
     def __init__(self, size: Size, folder: Path) -> None:
         self.size, self.folder = size, folder
-        self.rest: list[Process] = []  # members of all zones but the last
-        self.zone: Process | None = None  # members of the last zone
+        self.other_zones: list[Process] = []  # members of all zones but the last
+        self.last_zone: Process | None = None  # members of the last zone
         self.watches: Process | None = None  # of recorded members
         self.real: list[Process] = []
         self._all: list[Process] = []
         self._leases: dict[int, str] = {}  # by zone, of its recorded members
         self.store = self._start("store", ["-m", "pulleyroute.cli", "emulate", "store", "127.0.0.1:0"])
-        self.store_port = int(self.store.line().rpartition(":")[2])
+        self.store_port = int(self.store.read_line().rpartition(":")[2])
         self.discovery = self._start(
             "discovery", ["-m", "benchmarks.capacity.hollow_discovery", str(size.instances), str(size.zones)]
         )
@@ -117,16 +117,16 @@
     def prepare_all(self) -> None:
         """The processes of all live members, of the last zone's apart where there is more than one zone."""
         if self.size.zones == 1:
-            self.rest = [self.prepare("all")]
+            self.other_zones = [self.prepare("all")]
             return
         parts = self.size.processes
-        self.rest = [self.prepare("rest", part, parts) for part in range(parts)]
-        self.zone = self.prepare("last")
+        self.other_zones = [self.prepare("rest", part, parts) for part in range(parts)]
+        self.last_zone = self.prepare("last")
 
     @property
     def members(self) -> list[Process]:
         """The processes of hollow members that are there."""
-        return self.rest if self.zone is None else [*self.rest, self.zone]
+        return self.other_zones if self.last_zone is None else [*self.other_zones, self.last_zone]
 
     def start_real(self, numbers: range) -> None:
         """`pulleyroute serve` processes for these members."""
@@ -136,10 +136,10 @@
 
     def lose_zone(self) -> None:
         """Kill the process that holds the last zone's members, and end the recorded ones' lease."""
-        assert self.zone is not None
-        self.zone.kill()
-        self._all.remove(self.zone)
-        self.zone = None
+        assert self.last_zone is not None
+        self.last_zone.kill()
+        self._all.remove(self.last_zone)
+        self.last_zone = None
         lease = self._leases.pop(self.size.zones - 1, None)
         if lease is not None:
             self._call("/v3/lease/revoke", {"ID": lease})
@@ -165,11 +165,13 @@
             ["-m", "benchmarks.capacity.hollow_watches", str(self.store_port), str(self.size.recorded)],
         )
         state = self.watches.read()
-        until = time.monotonic() + WATCH_TIME
+        until = time.monotonic() + WATCHES_TIMEOUT_S
         while state["standing"] + state["lost"] < self.size.recorded:
             if time.monotonic() > until:
-                raise NoAnswer(f"watches: {state['standing']} of {self.size.recorded} in {WATCH_TIME:.0f} s")
-            time.sleep(LOOK)
+                raise NoAnswer(
+                    f"watches: {state['standing']} of {self.size.recorded} in {WATCHES_TIMEOUT_S:.0f} s"
+                )
+            time.sleep(POLL_INTERVAL_S)
             state = self.watches.ask({})
 
     # Records
@@ -186,7 +188,7 @@
         ]
         if not numbers:
             return
-        lease = self._call("/v3/lease/grant", {"TTL": str(RECORD_LEASE)})["ID"]
+        lease = self._call("/v3/lease/grant", {"TTL": str(RECORD_LEASE_S)})["ID"]
         self._leases[zone] = lease
         keys = Keys(GROUP)
         for first in range(0, len(numbers), RECORD_BATCH):
@@ -198,14 +200,14 @@
     def range_bytes(self) -> int:
         """How many bytes the answer to an agent's reading of the whole has."""
         keys = Keys(GROUP)
-        return len(self._post("/v3/kv/range", {"key": _text(keys.prefix), "range_end": _text(keys.end)}))
+        return len(self._post("/v3/kv/range", {"key": _base64(keys.prefix), "range_end": _base64(keys.end)}))
 
     def _call(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
         value: dict[str, Any] = json.loads(self._post(path, body))
         return value
 
     def _post(self, path: str, body: dict[str, Any]) -> bytes:
-        connection = http.client.HTTPConnection("127.0.0.1", self.store_port, timeout=STORE_TIME)
+        connection = http.client.HTTPConnection("127.0.0.1", self.store_port, timeout=STORE_TIMEOUT_S)
         try:
             connection.request("POST", path, json.dumps(body))
             return connection.getresponse().read()
@@ -218,17 +220,23 @@
     return Count(**traffic.get(str(port), {}))
 
 
-def _text(data: bytes) -> str:
+def _base64(data: bytes) -> str:
     return b64encode(data).decode()
 
 
 def _records(keys: Keys, number: int, zones: int, lease: str) -> list[dict[str, Any]]:
     name, token = member_name(number), f"{number:016x}"
-    seat = records.encode(
+    registration = records.encode(
         mark=f"{token}-1", incarnation=1, token=token, zone=zone_of(number, zones), region=""
     )
-    word = records.encode(mark=f"{token}-2", incarnation=1, phase="serving", version="v1")
+    heartbeat = records.encode(mark=f"{token}-2", incarnation=1, phase="serving", version="v1")
     return [
-        {"request_put": {"key": _text(keys.of("seat", name)), "value": _text(seat), "lease": "0"}},
-        {"request_put": {"key": _text(keys.of("word", name)), "value": _text(word), "lease": lease}},
+        {
+            "request_put": {
+                "key": _base64(keys.of("seat", name)),
+                "value": _base64(registration),
+                "lease": "0",
+            }
+        },
+        {"request_put": {"key": _base64(keys.of("word", name)), "value": _base64(heartbeat), "lease": lease}},
     ]
--- a/benchmarks/capacity/hollow_member.py
+++ b/benchmarks/capacity/hollow_member.py
@@ -21,7 +21,7 @@
 
 from loguru import logger
 
-from benchmarks.capacity.hollow_commands import answer, take_commands
+from benchmarks.capacity.hollow_commands import read_commands, write_answer
 from benchmarks.capacity.hollow_config import POOL, for_member, hollow_config
 from benchmarks.capacity.hollow_traffic import Traffic, count_traffic
 from pulleyroute.config import Config
@@ -33,8 +33,10 @@
 from pulleyroute.service.assembly import Service
 from pulleyroute.service.joining import join
 
-POLL = 20_000  # us between two looks at what a member knows: the resolution of the times in a report
-ERROR_TEXT = 120  # characters of a log line that tell one error from another
+CHECK_INTERVAL_US = (
+    20_000  # us between two looks at what a member knows: the resolution of the times in a report
+)
+MAX_ERROR_LENGTH = 120  # characters of a log line that tell one error from another
 
 
 @dataclass(slots=True)
@@ -84,12 +86,12 @@
         self.lists = 0
         service = Service(loop, config)
         self._discovery = service.pools[POOL].discovery
-        self._hear = self._discovery.on_update
+        self._handle_update = self._discovery.on_update
         self._discovery.on_update = self._observe
         self.agent: Agent = join(loop, service, config)
 
     def _observe(self, update: WorkerList) -> None:
-        self._hear(update)
+        self._handle_update(update)
         if update.kind is ListKind.FAILED:
             return
         self.lists += 1
@@ -107,10 +109,12 @@
     def has_record(self) -> bool:
         """Whether its own record is in what it knows, as of the process that has the name."""
         known = self.agent.snapshot
-        record, seat = known.heartbeats.get(self._name), known.registrations.get(self._name)
-        return record is not None and seat is not None and record.incarnation == seat.incarnation
+        record, registration = known.heartbeats.get(self._name), known.registrations.get(self._name)
+        return (
+            record is not None and registration is not None and record.incarnation == registration.incarnation
+        )
 
-    def look(self, expected: Expectation | None) -> bool:
+    def check(self, expected: Expectation | None) -> bool:
         """Note what it has come to know; whether there is nothing left to wait for."""
         now = self._loop.now()
         if not self.registered and self.has_record:
@@ -134,10 +138,10 @@
         self._waiting: list[Member] = []
         self._expected: Expectation | None = None
         self._errors: Counter[str] = Counter()
-        self._last_look, self._longest_turn = loop.now(), 0
+        self._last_check, self._longest_gap = loop.now(), 0
         logger.remove()
         logger.add(self._note_error, level="WARNING", format="{message}")
-        self._looking = loop.spawn(self._look(), "look")
+        self._check_task = loop.spawn(self._check_members(), "look")
 
     def handle(self, command: dict[str, Any]) -> dict[str, Any]:
         """Carry out one command."""
@@ -158,27 +162,27 @@
 
     def _expect(self, expected: Expectation) -> None:
         self._expected = expected
-        self._longest_turn = 0
+        self._longest_gap = 0
         for member in self._members:
             member.list_known = member.fleet_known = 0
         self._wait_for_all()
 
     def _wait_for_all(self) -> None:
         self._waiting = list(self._members)
-        self._last_look = self._loop.now()
-        self._looking.wake()
+        self._last_check = self._loop.now()
+        self._check_task.wake()
 
-    def _look(self) -> Coroutine[None]:
+    def _check_members(self) -> Coroutine[None]:
         while True:
             now = self._loop.now()
-            self._longest_turn = max(self._longest_turn, now - self._last_look)
-            self._last_look = now
-            self._waiting = [member for member in self._waiting if not member.look(self._expected)]
+            self._longest_gap = max(self._longest_gap, now - self._last_check)
+            self._last_check = now
+            self._waiting = [member for member in self._waiting if not member.check(self._expected)]
             # Looks would count as the members' own cost: with nothing left to wait for there are none.
-            yield Wait(until=self._loop.now() + POLL) if self._waiting else Wait()
+            yield Wait(until=self._loop.now() + CHECK_INTERVAL_US) if self._waiting else Wait()
 
     def _note_error(self, message: str) -> None:
-        self._errors[message.strip()[:ERROR_TEXT]] += 1
+        self._errors[message.strip()[:MAX_ERROR_LENGTH]] += 1
 
     def _report(self) -> Report:
         members = self._members
@@ -195,7 +199,7 @@
             least_serving=min(serving, default=0),
             most_serving=max(serving, default=0),
             without_record=sum(1 for member in members if not member.has_record),
-            longest_turn=self._longest_turn,
+            longest_turn=self._longest_gap,
             traffic={str(port): asdict(count) for port, count in self._traffic.peers.items()},
             errors=dict(self._errors.most_common(10)),
         )
@@ -220,8 +224,8 @@
     members = Members(loop, config, numbers, zones, traffic)
     gc.freeze()
     gc.set_threshold(5_000, 5, 5)  # as `pulleyroute serve` does
-    loop.spawn(take_commands(loop, members.handle), "commands")
-    answer({"ready": len(numbers)})
+    loop.spawn(read_commands(loop, members.handle), "commands")
+    write_answer({"ready": len(numbers)})
     loop.run()
 
 
--- a/benchmarks/capacity/hollow_play.py
+++ b/benchmarks/capacity/hollow_play.py
@@ -11,14 +11,14 @@
 
 from benchmarks.capacity.hollow_fleet import Fleet, Size, peer_count
 from benchmarks.capacity.hollow_member import Report
-from benchmarks.capacity.hollow_process import NoAnswer, Usage, now
-from benchmarks.capacity.hollow_results import Play, Quantiles, RestCost, Stage, quantiles
+from benchmarks.capacity.hollow_process import NoAnswer, Usage, monotonic_us
+from benchmarks.capacity.hollow_results import FleetRun, Quantiles, RestCost, Stage, quantiles
 from benchmarks.capacity.hollow_traffic import Count
 
-LOOK = 0.2  # seconds between two questions whether all members know
+POLL_INTERVAL_S = 0.2  # seconds between two questions whether all members know
 MEMORY_SHARE = 0.5  # of the machine's, that a play may hold
 # The stages in their order, with the times of a `Report` that say something in them.
-WAITED: dict[str, tuple[str, ...]] = {
+STAGE_TIMES: dict[str, tuple[str, ...]] = {
     "start": ("listed", "registered", "fleet_known"),
     "rest": (),
     "zone lost": ("list_known", "fleet_known"),
@@ -26,7 +26,7 @@
 }
 
 
-class Broken(Exception):
+class StageFailed(Exception):
     """A stage did not come to its end; the text says what was missing."""
 
 
@@ -38,16 +38,16 @@
     window is a multiple of that.
     """
 
-    patience: float = 40.0
+    timeout: float = 40.0
     settle: float = 5.0
     window: float = 20.0
 
 
-QUICK = Times(patience=20.0, settle=1.0, window=10.0)
+QUICK = Times(timeout=20.0, settle=1.0, window=10.0)
 
 
 @dataclass(slots=True, frozen=True)
-class _Mark:
+class _Baseline:
     """What was used and exchanged up to a time."""
 
     at: int
@@ -58,11 +58,11 @@
     errors: Counter[str]
 
 
-class _Player:
+class _FleetRunner:
     """Carries the stages out and keeps what they measure."""
 
-    def __init__(self, fleet: Fleet, times: Times, play: Play) -> None:
-        self._fleet, self._times, self._play = fleet, times, play
+    def __init__(self, fleet: Fleet, times: Times, result: FleetRun) -> None:
+        self._fleet, self._times, self._result = fleet, times, result
         self._size = fleet.size
 
     def run(self) -> None:
@@ -75,8 +75,8 @@
         fleet.prepare_all()
         empty = {process.name: process.usage().memory for process in fleet.members}
         self._start()
-        self._rest(empty)
-        if fleet.zone is None:
+        self._measure_rest(empty)
+        if fleet.last_zone is None:
             return
         self._lose_zone()
         self._return_zone()
@@ -84,25 +84,25 @@
     # Stages
 
     def _start(self) -> None:
-        mark = self._mark()
+        baseline = self._take_baseline()
         for process in self._fleet.members:
             process.send({"do": "start"})
-            process.send({"do": "expect", "serving": self._size.fleet, "revision": 1, "since": mark.at})
+            process.send({"do": "expect", "serving": self._size.fleet, "revision": 1, "since": baseline.at})
         for process in self._fleet.members:
             process.read()
             process.read()
-        self._finish("start", mark, self._wait(), self._size.members)
+        self._finish("start", baseline, self._wait_for_members(), self._size.members)
 
-    def _rest(self, empty: dict[str, int]) -> None:
+    def _measure_rest(self, empty: dict[str, int]) -> None:
         time.sleep(self._times.settle)
-        mark = self._mark()
+        baseline = self._take_baseline()
         time.sleep(self._times.window)
-        stage = self._finish("rest", mark, True, self._size.members)
+        stage = self._finish("rest", baseline, True, self._size.members)
         members, seconds = stage.members, stage.seconds
         member_cpu = sum(stage.cpu[process.name] for process in self._fleet.members)
         memory = sum(stage.memory[name] - before for name, before in empty.items())
         store = stage.store.sent + stage.store.received
-        self._play.rest = RestCost(
+        self._result.rest = RestCost(
             window=seconds,
             calls=stage.calls / members / seconds,
             store_bytes=store / members / seconds,
@@ -116,7 +116,7 @@
             range_bytes=self._fleet.range_bytes(),
         )
         if stage.without_record or stage.least_serving < self._size.fleet:
-            raise Broken(
+            raise StageFailed(
                 f"at rest members lost their leases: {stage.without_record} without a record, "
                 f"{stage.least_serving} known to serve of {self._size.fleet}"
             )
@@ -124,48 +124,48 @@
     def _lose_zone(self) -> None:
         fleet = self._fleet
         left = self._size.members - self._size.live_in_last_zone
-        lost_at = now()
+        lost_at = monotonic_us()
         fleet.lose_zone()
-        mark = replace(self._mark(), at=lost_at)
+        baseline = replace(self._take_baseline(), at=lost_at)
         revision = fleet.change_instances("left")
         serving = self._size.fleet - self._size.in_last_zone
         for process in fleet.members:
-            process.ask({"do": "expect", "serving": serving, "revision": revision, "since": mark.at})
-        self._finish("zone lost", mark, self._wait(), left)
+            process.ask({"do": "expect", "serving": serving, "revision": revision, "since": baseline.at})
+        self._finish("zone lost", baseline, self._wait_for_members(), left)
 
     def _return_zone(self) -> None:
         fleet = self._fleet
-        fleet.zone = fleet.prepare("last")
-        mark = self._mark()
-        fleet.zone.send({"do": "start"})
+        fleet.last_zone = fleet.prepare("last")
+        baseline = self._take_baseline()
+        fleet.last_zone.send({"do": "start"})
         fleet.record_zone(self._size.zones - 1)
         revision = fleet.change_instances("active")
-        expected = {"do": "expect", "serving": self._size.fleet, "revision": revision, "since": mark.at}
+        expected = {"do": "expect", "serving": self._size.fleet, "revision": revision, "since": baseline.at}
         for process in self._fleet.members:
             process.send(expected)
-        fleet.zone.read()
+        fleet.last_zone.read()
         for process in self._fleet.members:
             process.read()
-        self._finish("zone back", mark, self._wait(), self._size.members)
+        self._finish("zone back", baseline, self._wait_for_members(), self._size.members)
 
     # Measuring
 
-    def _wait(self) -> bool:
-        until = time.monotonic() + self._times.patience
+    def _wait_for_members(self) -> bool:
+        until = time.monotonic() + self._times.timeout
         while time.monotonic() < until:
             if not any(process.ask({"do": "look"})["waiting"] for process in self._fleet.members):
                 return True
             _check_memory(self._fleet)
-            time.sleep(LOOK)
+            time.sleep(POLL_INTERVAL_S)
         return False
 
     def _reports(self) -> list[Report]:
         return [Report(**process.ask({"do": "report"})) for process in self._fleet.members]
 
-    def _mark(self) -> _Mark:
+    def _take_baseline(self) -> _Baseline:
         reports = self._reports()
         calls, store, discovery = self._exchanged(reports)
-        return _Mark(now(), self._fleet.usages(), calls, store, discovery, _errors(reports))
+        return _Baseline(monotonic_us(), self._fleet.usages(), calls, store, discovery, _errors(reports))
 
     def _exchanged(self, reports: list[Report]) -> tuple[int, Count, Count]:
         fleet = self._fleet
@@ -175,32 +175,32 @@
             discovery += peer_count(report.traffic, fleet.discovery_port)
         return sum(report.calls for report in reports), store, discovery
 
-    def _finish(self, name: str, mark: _Mark, complete: bool, members: int) -> Stage:
+    def _finish(self, name: str, baseline: _Baseline, complete: bool, members: int) -> Stage:
         """Take the stage's measures; raises `Broken` where it did not come to its end."""
         after = self._fleet.usages()
-        ended = now()
+        ended = monotonic_us()
         reports = self._reports()
         calls, store, discovery = self._exchanged(reports)
         stage = Stage(
             name=name,
             complete=complete,
-            seconds=(ended - mark.at) / 1e6,
+            seconds=(ended - baseline.at) / 1e6,
             members=members,
-            calls=calls - mark.calls,
-            store=store - mark.store,
-            discovery=discovery - mark.discovery,
-            cpu={key: used.cpu - _before(mark, key) for key, used in after.items()},
+            calls=calls - baseline.calls,
+            store=store - baseline.store,
+            discovery=discovery - baseline.discovery,
+            cpu={key: used.cpu - _before(baseline, key) for key, used in after.items()},
             memory={key: used.memory for key, used in after.items()},
-            times=_times(reports, members, WAITED[name]),
+            times=_times(reports, members, STAGE_TIMES[name]),
             least_serving=min(report.least_serving for report in reports),
             most_serving=max(report.most_serving for report in reports),
             without_record=sum(report.without_record for report in reports),
             longest_turn=max(report.longest_turn for report in reports) / 1e6,
-            errors=dict(_errors(reports) - mark.errors),
+            errors=dict(_errors(reports) - baseline.errors),
         )
-        self._play.stages.append(stage)
+        self._result.stages.append(stage)
         if not complete:
-            raise Broken(_missing(stage, self._times.patience))
+            raise StageFailed(_missing(stage, self._times.timeout))
         return stage
 
 
@@ -212,8 +212,8 @@
     return found
 
 
-def _before(mark: _Mark, name: str) -> float:
-    used = mark.usages.get(name)
+def _before(baseline: _Baseline, name: str) -> float:
+    used = baseline.usages.get(name)
     return used.cpu if used is not None else 0.0
 
 
@@ -224,10 +224,10 @@
     }
 
 
-def _missing(stage: Stage, patience: float) -> str:
+def _missing(stage: Stage, timeout: float) -> str:
     counts = ", ".join(f"{name} {each.count}" for name, each in stage.times.items())
     busy = ", ".join(f"{name} {spent / stage.seconds:.2f}" for name, spent in stage.cpu.items())
-    return f"{stage.name}: not within {patience:.0f} s; of {stage.members}: {counts}; cores used: {busy}"
+    return f"{stage.name}: not within {timeout:.0f} s; of {stage.members}: {counts}; cores used: {busy}"
 
 
 def _check_memory(fleet: Fleet) -> None:
@@ -235,20 +235,22 @@
     held = sum(used.memory for used in fleet.usages().values())
     limit = MEMORY_SHARE * os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
     if held > limit:
-        raise Broken(f"the play holds {held / 2**20:.0f} MB of {limit / 2**20:.0f}")
+        raise StageFailed(f"the play holds {held / 2**20:.0f} MB of {limit / 2**20:.0f}")
 
 
-def play(size: Size, times: Times) -> Play:
+def run_fleet(size: Size, times: Times) -> FleetRun:
     """Play all stages at one size; what breaks is in the result, not raised."""
-    result = Play(size.members, size.recorded, size.instances, size.watched)
+    result = FleetRun(size.members, size.recorded, size.instances, size.watched)
     with tempfile.TemporaryDirectory(prefix="hollow-") as folder, Fleet(size, Path(folder)) as fleet:
         try:
-            _Player(fleet, times, result).run()
+            _FleetRunner(fleet, times, result).run()
             if fleet.watches is not None:
                 result.watches_lost = int(fleet.watches.ask({})["lost"])
-        except (Broken, NoAnswer, OSError) as exc:
+        except (StageFailed, NoAnswer, OSError) as exc:
             result.ended_by = str(exc)
     result.load = os.getloadavg()[0]
     done = {stage.name for stage in result.stages}
-    result.not_run = [name for name in WAITED if name not in done and not (size.zones < 2 and "zone" in name)]
+    result.not_run = [
+        name for name in STAGE_TIMES if name not in done and not (size.zones < 2 and "zone" in name)
+    ]
     return result
--- a/benchmarks/capacity/hollow_process.py
+++ b/benchmarks/capacity/hollow_process.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
-PAGE = os.sysconf("SC_PAGE_SIZE")
-ANSWER_TIME = 60.0  # seconds for one line: a process in the middle of a storm answers late
-END_TIME = 5.0  # seconds between SIGTERM and SIGKILL
+PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
+ANSWER_TIMEOUT_S = 60.0  # seconds for one line: a process in the middle of a storm answers late
+TERMINATION_TIMEOUT_S = 5.0  # seconds between SIGTERM and SIGKILL
 
 
 class NoAnswer(Exception):
@@ -41,29 +41,29 @@
             )
         assert self._process.stdout is not None
         self._output = self._process.stdout.fileno()
-        self._rest = b""
+        self._unread = b""
 
     @property
     def pid(self) -> int:
         return self._process.pid
 
-    def line(self, patience: float = ANSWER_TIME) -> str:
+    def read_line(self, timeout: float = ANSWER_TIMEOUT_S) -> str:
         """The next line that it prints; raises `NoAnswer`."""
-        until = time.monotonic() + patience
-        while b"\n" not in self._rest:
+        until = time.monotonic() + timeout
+        while b"\n" not in self._unread:
             ready, _, _ = select.select([self._output], [], [], max(0.0, until - time.monotonic()))
             if not ready:
-                raise NoAnswer(f"{self.name}: no answer in {patience:.0f} s")
+                raise NoAnswer(f"{self.name}: no answer in {timeout:.0f} s")
             data = os.read(self._output, 65_536)
             if not data:
                 raise NoAnswer(f"{self.name}: ended with {self._process.wait()}")
-            self._rest += data
-        line, self._rest = self._rest.split(b"\n", 1)
+            self._unread += data
+        line, self._unread = self._unread.split(b"\n", 1)
         return line.decode()
 
-    def read(self, patience: float = ANSWER_TIME) -> dict[str, Any]:
+    def read(self, timeout: float = ANSWER_TIMEOUT_S) -> dict[str, Any]:
         """The next line, which is a JSON object; raises `NoAnswer`."""
-        value: dict[str, Any] = json.loads(self.line(patience))
+        value: dict[str, Any] = json.loads(self.read_line(timeout))
         return value
 
     def send(self, command: dict[str, Any]) -> None:
@@ -75,10 +75,10 @@
         except BrokenPipeError:
             raise NoAnswer(f"{self.name}: ended with {self._process.wait()}") from None
 
-    def ask(self, command: dict[str, Any], patience: float = ANSWER_TIME) -> dict[str, Any]:
+    def ask(self, command: dict[str, Any], timeout: float = ANSWER_TIMEOUT_S) -> dict[str, Any]:
         """Give a command and wait for its answer; raises `NoAnswer`."""
         self.send(command)
-        return self.read(patience)
+        return self.read(timeout)
 
     def signal(self, number: int) -> None:
         """Signal this process alone."""
@@ -92,7 +92,7 @@
             pages = int((folder / "statm").read_text().split()[1])
         except (OSError, IndexError):
             raise NoAnswer(f"{self.name}: ended with {self._process.poll()}") from None
-        return Usage(nanoseconds / 1e9, pages * PAGE)
+        return Usage(nanoseconds / 1e9, pages * PAGE_SIZE)
 
     def kill(self) -> None:
         """As a lost machine does it: without a last word."""
@@ -103,7 +103,7 @@
         """SIGTERM, and SIGKILL where that is not heard."""
         self._process.terminate()
         try:
-            self._process.wait(END_TIME)
+            self._process.wait(TERMINATION_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self._process.kill()
         self._close()
@@ -116,6 +116,6 @@
                     pipe.close()
 
 
-def now() -> int:
+def monotonic_us() -> int:
     """The machine's monotonic clock in microseconds, as all processes of the run read it."""
     return time.monotonic_ns() // 1000
--- a/benchmarks/capacity/hollow_results.py
+++ b/benchmarks/capacity/hollow_results.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True)
-class Play:
+class FleetRun:
     """One play: its size, its stages as far as they went, and why it went no further.
 
     `watched`: recorded members had watches at the store, of which `watches_lost` ended during the play.
@@ -157,13 +157,13 @@
 
     machine: str = ""
     series: list[Series] = field(default_factory=list)
-    plays: list[Play] = field(default_factory=list)
+    plays: list[FleetRun] = field(default_factory=list)
     comparison: Comparison | None = None
 
-    def add(self, play: Play) -> None:
+    def add(self, run: FleetRun) -> None:
         """Put a play in the place of an earlier one of its size."""
-        self.plays = [each for each in self.plays if each.size != play.size]
-        self.plays.append(play)
+        self.plays = [each for each in self.plays if each.size != run.size]
+        self.plays.append(run)
         self.plays.sort(key=lambda each: each.size)
 
 
--- a/benchmarks/capacity/hollow_series.py
+++ b/benchmarks/capacity/hollow_series.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from benchmarks.capacity.hollow_fleet import ZONES
-from benchmarks.capacity.hollow_results import Play, RestCost, Stage
+from benchmarks.capacity.hollow_results import FleetRun, RestCost, Stage
 from benchmarks.capacity.series import Point, Series
 
 COMMAND = "python -m benchmarks.capacity.hollow --out docs/measured/capacity/hollow.json"
@@ -23,48 +23,50 @@
     name: str
     title: str
     unit: str
-    read: Callable[[Play], float | None]
+    read: Callable[[FleetRun], float | None]
     limit: float | None = None
     note: str = ""
 
 
-def series(plays: Iterable[Play], machine: str) -> list[Series]:
+def series(plays: Iterable[FleetRun], machine: str) -> list[Series]:
     """All costs that at least one play says.
 
     Plays of other lists, of bare watches and of fleets with fewer live members than zones are left out.
     """
     kept = [
-        play
-        for play in plays
-        if play.instances == INSTANCES and not play.watched and play.members >= min(ZONES, play.fleet)
+        run
+        for run in plays
+        if run.instances == INSTANCES and not run.watched and run.members >= min(ZONES, run.fleet)
     ]
     made = [_series(cost, kept, machine) for cost in COSTS]
     return [each for each in made if each.points]
 
 
-def _series(cost: _Cost, plays: list[Play], machine: str) -> Series:
-    points = tuple(Point(play.fleet, value) for play in plays if (value := cost.read(play)) is not None)
+def _series(cost: _Cost, plays: list[FleetRun], machine: str) -> Series:
+    points = tuple(Point(run.fleet, value) for run in plays if (value := cost.read(run)) is not None)
     return Series(
         f"hollow.{cost.name}", cost.title, cost.unit, MEMBERS, COMMAND, points, cost.limit, machine, cost.note
     )
 
 
-def _rest(read: Callable[[RestCost], float], alive: bool | None = None) -> Callable[[Play], float | None]:
+def _rest(read: Callable[[RestCost], float], alive: bool | None = None) -> Callable[[FleetRun], float | None]:
     """From the cost at rest; `alive`: only where all members live (True), or only where some do (False)."""
 
-    def value(play: Play) -> float | None:
-        wanted = alive is None or alive == (play.recorded == 0)
-        return read(play.rest) if play.rest is not None and wanted else None
+    def value(run: FleetRun) -> float | None:
+        wanted = alive is None or alive == (run.recorded == 0)
+        return read(run.rest) if run.rest is not None and wanted else None
 
     return value
 
 
-def _stage(name: str, read: Callable[[Stage], float], alive: bool = False) -> Callable[[Play], float | None]:
+def _stage(
+    name: str, read: Callable[[Stage], float], alive: bool = False
+) -> Callable[[FleetRun], float | None]:
     """From one stage that came to its end."""
 
-    def value(play: Play) -> float | None:
-        stage = next((each for each in play.stages if each.name == name and each.complete), None)
-        return None if stage is None or (alive and play.recorded) else read(stage)
+    def value(run: FleetRun) -> float | None:
+        stage = next((each for each in run.stages if each.name == name and each.complete), None)
+        return None if stage is None or (alive and run.recorded) else read(stage)
 
     return value
 
--- a/benchmarks/capacity/hollow_traffic.py
+++ b/benchmarks/capacity/hollow_traffic.py
@@ -40,7 +40,7 @@
 
     peers: dict[int, Count] = field(default_factory=dict)
 
-    def of(self, port: int) -> Count:
+    def count_of(self, port: int) -> Count:
         """The count of one peer, made at its first connection."""
         return self.peers.setdefault(port, Count())
 
@@ -54,7 +54,7 @@
 
         def __init__(self, loop: Loop, pool: BufferPool, sock: socket.socket, server: bool) -> None:
             super().__init__(loop, pool, sock, server)
-            self._count = traffic.of(sock.getpeername()[1])
+            self._count = traffic.count_of(sock.getpeername()[1])
             self._count.connections += 1
 
         def read_available(self) -> int | None:
--- a/benchmarks/capacity/hollow_watches.py
+++ b/benchmarks/capacity/hollow_watches.py
@@ -14,7 +14,7 @@
 
 import h11
 
-from benchmarks.capacity.hollow_commands import answer, take_commands
+from benchmarks.capacity.hollow_commands import read_commands, write_answer
 from benchmarks.capacity.hollow_config import GROUP
 from pulleyroute.fleet.records import Keys
 from pulleyroute.net.buffers import BufferPool
@@ -22,8 +22,8 @@
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Wait
 from pulleyroute.net.process import on_error
 
-CONNECT_TIME = 10_000_000  # us
-SPACING = 1_000  # us between two watches that are opened
+CONNECT_TIMEOUT_US = 10_000_000  # us
+OPEN_INTERVAL_US = 1_000  # us between two watches that are opened
 
 
 class Watches:
@@ -31,23 +31,23 @@
 
     def __init__(self, loop: Loop, port: int, count: int) -> None:
         self._loop, self._pool, self._address = loop, BufferPool(), ("127.0.0.1", port)
-        self.standing = self.lost = self.received = 0
+        self.open_count = self.lost = self.received = 0
         loop.spawn(self._open(count), "open")
 
     def _open(self, count: int) -> Coroutine[None]:
         for _ in range(count):
             self._loop.spawn(self._watch(), "watch")
-            yield Wait(until=self._loop.now() + SPACING)
+            yield Wait(until=self._loop.now() + OPEN_INTERVAL_US)
 
     def _watch(self) -> Coroutine[None]:
         try:
             stream = yield from connect(
-                self._loop, self._pool, self._address, self._loop.now() + CONNECT_TIME
+                self._loop, self._pool, self._address, self._loop.now() + CONNECT_TIMEOUT_US
             )
         except (ConnectionFailed, ConnectionLimitReached, DeadlineExceeded):
             self.lost += 1
             return
-        self.standing += 1
+        self.open_count += 1
         try:
             body = _request()
             head = h11.Request(
@@ -62,7 +62,7 @@
                     yield Wait(stream.fileno(), READABLE)
         except ConnectionFailed:
             pass
-        self.standing -= 1
+        self.open_count -= 1
         self.lost += 1
         stream.close()
 
@@ -79,10 +79,10 @@
     watches = Watches(loop, int(sys.argv[1]), int(sys.argv[2]))
 
     def report(_: object) -> dict[str, int]:
-        return {"standing": watches.standing, "lost": watches.lost, "received": watches.received}
+        return {"standing": watches.open_count, "lost": watches.lost, "received": watches.received}
 
-    loop.spawn(take_commands(loop, report), "commands")
-    answer(report(None))
+    loop.spawn(read_commands(loop, report), "commands")
+    write_answer(report(None))
     loop.run()
 
 
--- a/benchmarks/capacity/listed.py
+++ b/benchmarks/capacity/listed.py
@@ -13,14 +13,14 @@
 from pathlib import Path
 
 from benchmarks.capacity import sample
-from benchmarks.capacity.cost import processor_time, resident
+from benchmarks.capacity.cost import processor_time, resident_memory
 from benchmarks.capacity.probes import stand_in
-from benchmarks.capacity.request import SLOTS, program
+from benchmarks.capacity.request import SLOTS, dispatcher_process
 from benchmarks.capacity.slope import Cost, Slope
 from pulleyroute.emulator import Discovery
 from pulleyroute.lab.demo import free_port
 
-SETTLED, WINDOW = 1.0, 3.0  # seconds before the reading, and of it
+SETTLE_TIME_S, WINDOW_S = 1.0, 3.0  # seconds before the reading, and of it
 LARGEST = 6_000
 
 
@@ -30,12 +30,12 @@
     with tempfile.TemporaryDirectory() as folder, stand_in("box", listen, SLOTS) as address:
         for number in range(size):
             discovery.put(sample.instance_name(number), address)
-        with program(Path(folder), listen, discovery) as pid:
-            time.sleep(SETTLED)
+        with dispatcher_process(Path(folder), listen, discovery) as pid:
+            time.sleep(SETTLE_TIME_S)
             began, at = processor_time(pid), time.monotonic()
-            time.sleep(WINDOW)
+            time.sleep(WINDOW_S)
             spent, lasted = processor_time(pid) - began, time.monotonic() - at
-            return {"time": spent / lasted * 1e6, "memory": float(resident(pid))}
+            return {"time": spent / lasted * 1e6, "memory": float(resident_memory(pid))}
 
 
 SLOPE = Slope(
--- a/benchmarks/capacity/listing.py
+++ b/benchmarks/capacity/listing.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from benchmarks.capacity import sample
-from benchmarks.capacity.cost import microseconds, traced
+from benchmarks.capacity.cost import microseconds, traced_memory
 from benchmarks.capacity.slope import Cost, Slope
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.discovery import DiscoveryClient
@@ -22,9 +22,9 @@
     return client
 
 
-def _changing(client: DiscoveryClient) -> Callable[[], None]:
+def _make_change(client: DiscoveryClient) -> Callable[[], None]:
     """One instance leaves and comes back, again and again."""
-    texts = [sample.word(2, [sample.member(0, phase)]) for phase in ("leaving", "active")]
+    texts = [sample.watch_line(2, [sample.discovery_entry(0, phase)]) for phase in ("leaving", "active")]
 
     def change() -> None:
         texts.reverse()
@@ -36,22 +36,22 @@
 def _times(client: DiscoveryClient, text: bytes) -> dict[str, float]:
     return {
         "whole": microseconds(lambda: client._read_line(text)),
-        "change": microseconds(_changing(client)),
+        "change": microseconds(_make_change(client)),
     }
 
 
 def measure(size: int) -> dict[str, float]:
     """The costs at a list of so many instances."""
     loop = Loop(lambda name, exc: None)
-    text = sample.whole(size)
+    text = sample.full_list_line(size)
     times = _times(_client(loop, text), text)
-    held, most = traced(lambda: _client(loop, text))
+    held, most = traced_memory(lambda: _client(loop, text))
     return {
         **times,
         "memory": held,
         "peak": most,
         "whole_bytes": float(len(text)),
-        "change_bytes": float(len(sample.word(2, [sample.member(0)]))),
+        "change_bytes": float(len(sample.watch_line(2, [sample.discovery_entry(0)]))),
     }
 
 
--- a/benchmarks/capacity/members.py
+++ b/benchmarks/capacity/members.py
@@ -9,7 +9,7 @@
 import json
 from dataclasses import replace
 
-from benchmarks.capacity.cost import microseconds, traced
+from benchmarks.capacity.cost import microseconds, traced_memory
 from benchmarks.capacity.slope import Cost, Slope
 from pulleyroute.fleet import drains, records, release
 from pulleyroute.fleet.drains import Action, Bounds, CountOrShare
@@ -31,57 +31,59 @@
     """The seat and the word of one member, as keys and values."""
     name, mark = member_name(number), f"{number:016x}-1"
     zone, region = f"zone-{number % ZONES}", f"region-{number % 3}"
-    seat = records.encode(mark=mark, incarnation=1, token=f"{number:016x}", zone=zone, region=region)
-    word = records.encode(mark=mark, incarnation=1, phase="serving", version="1.2.3")
-    return [(KEYS.of("seat", name), seat), (KEYS.of("word", name), word)]
+    registration = records.encode(mark=mark, incarnation=1, token=f"{number:016x}", zone=zone, region=region)
+    heartbeat = records.encode(mark=mark, incarnation=1, phase="serving", version="1.2.3")
+    return [(KEYS.of("seat", name), registration), (KEYS.of("word", name), heartbeat)]
 
 
-def _mirror(size: int) -> dict[bytes, Item]:
-    wish = records.encode(mark="w", incarnation=1, do="restart", version="1.2.4", by="operator", why="update")
+def _stored_items(size: int) -> dict[bytes, Item]:
+    request = records.encode(
+        mark="w", incarnation=1, do="restart", version="1.2.4", by="operator", why="update"
+    )
     pairs = [pair for number in range(size) for pair in member_records(number)]
-    pairs.append((KEYS.of("wish", member_name(0)), wish))
+    pairs.append((KEYS.of("wish", member_name(0)), request))
     pairs.append((KEYS.generation, records.encode(mark="r")))
     return {key: Item(key, value, 5, 5, 0) for key, value in pairs}
 
 
-def _known(mirror: dict[bytes, Item]) -> Snapshot:
-    return records.parse_snapshot(KEYS, ((item.key, item.value) for item in mirror.values()))
+def _parse(items: dict[bytes, Item]) -> Snapshot:
+    return records.parse_snapshot(KEYS, ((item.key, item.value) for item in items.values()))
 
 
-def _step(known: Snapshot) -> drains.Step:
-    return drains.step(member_name(0), f"{0:016x}", 1, "serving", False, known, BOUNDS)
+def _step(snapshot: Snapshot) -> drains.Step:
+    return drains.step(member_name(0), f"{0:016x}", 1, "serving", False, snapshot, BOUNDS)
 
 
-def _permit(mirror: dict[bytes, Item], known: Snapshot) -> list[object]:
+def _permit_comparisons(items: dict[bytes, Item], snapshot: Snapshot) -> list[object]:
     """The comparisons of a permit's transaction."""
-    counted = [mirror[KEYS.of("word", name)] for name in drains.serving_members(known)]
+    counted = [items[KEYS.of("word", name)] for name in drains.serving_members(snapshot)]
     first = [KEYS.of("permit", member_name(0)), KEYS.of("seat", member_name(0)), KEYS.generation]
-    own = [mirror.get(key, Item(key)) for key in (*first, KEYS.of("wish", member_name(0)))]
+    own = [items.get(key, Item(key)) for key in (*first, KEYS.of("wish", member_name(0)))]
     return [compare_unchanged(item) for item in (*own, *counted)]
 
 
 def measure(size: int) -> dict[str, float]:
     """The costs in a fleet of so many members."""
-    mirror = _mirror(size)
-    known = _known(mirror)
-    if _step(known).action is not Action.ASK:
+    items = _stored_items(size)
+    snapshot = _parse(items)
+    if _step(snapshot).action is not Action.ASK:
         raise ValueError("the sample's member does not ask for its permit")
-    compares = _permit(mirror, known)
+    compares = _permit_comparisons(items, snapshot)
     plan = release.Plan("r", "1.2.4", (CountOrShare(share=0.01), CountOrShare(share=0.1)))
-    begun = release.new_release(plan, replace(known, member_requests={}))
+    started_release = release.new_release(plan, replace(snapshot, member_requests={}))
 
-    def held() -> tuple[dict[bytes, Item], Snapshot]:
-        fresh = _mirror(size)
-        return fresh, _known(fresh)
+    def build() -> tuple[dict[bytes, Item], Snapshot]:
+        fresh = _stored_items(size)
+        return fresh, _parse(fresh)
 
     return {
-        "known": microseconds(lambda: _known(mirror)),
-        "step": microseconds(lambda: _step(known)),
-        "permit": microseconds(lambda: _permit(mirror, known)),
+        "known": microseconds(lambda: _parse(items)),
+        "step": microseconds(lambda: _step(snapshot)),
+        "permit": microseconds(lambda: _permit_comparisons(items, snapshot)),
         "permit_compares": float(len(compares)),
         "permit_bytes": float(len(json.dumps({"compare": compares}))),
-        "release_bytes": float(len(records.encode(**records.release_values(begun)))),
-        "memory": traced(held)[0],
+        "release_bytes": float(len(records.encode(**records.release_values(started_release)))),
+        "memory": traced_memory(build)[0],
     }
 
 
--- a/benchmarks/capacity/probes.py
+++ b/benchmarks/capacity/probes.py
@@ -39,30 +39,30 @@
         process.wait()
 
 
-class _Asking:
+class _Prober:
     """Asks one instance again and again."""
 
     def __init__(self, address: str, times: int) -> None:
         settings = sample.settings()
-        self._loop, self._left = Loop(self._failed), times
+        self._loop, self._remaining = Loop(self._failed), times
         pool = BufferPool()
         discovery = DiscoveryClient(self._loop, pool, ("127.0.0.1", 9), settings, sample.EPOCH)
-        member = {**sample.member(0), "host_port": address}
-        discovery._read_line(sample.word(1, [member], complete=True))
+        member = {**sample.discovery_entry(0), "host_port": address}
+        discovery._read_line(sample.watch_line(1, [member], complete=True))
         self._name = str(member["id"]).encode()
         self._instances = Instances(self._loop, pool, discovery, settings, 100)
-        self._instances.probed = self._heard
-        self.wrong: list[str] = []
+        self._instances.probed = self._probe_ended
+        self.errors: list[str] = []
 
     def _failed(self, name: str, exc: Exception) -> None:
-        self.wrong.append(f"{name}: {exc!r}")
+        self.errors.append(f"{name}: {exc!r}")
         self._loop.stop()
 
-    def _heard(self, instance: bytes, outcome: Outcome, took: int, report: LoadReport | None) -> None:
+    def _probe_ended(self, instance: bytes, outcome: Outcome, took: int, report: LoadReport | None) -> None:
         if outcome is not Outcome.OK or report is None:
-            self.wrong.append(f"a probe ended as {outcome.name}")
-        self._left -= 1
-        if self._left == 0 or self.wrong:
+            self.errors.append(f"a probe ended as {outcome.name}")
+        self._remaining -= 1
+        if self._remaining == 0 or self.errors:
             self._loop.stop()
             return
         self._instances.probe(instance)
@@ -87,10 +87,10 @@
 def measure(size: int) -> dict[str, float]:
     """The processor time of so many probes."""
     with stand_in("box", CALLBACK) as address:
-        asking = _Asking(address, size)
-        spent, one = asking.run(), _bytes(address)
-    if asking.wrong:
-        raise ValueError(asking.wrong[0])
+        prober = _Prober(address, size)
+        spent, one = prober.run(), _bytes(address)
+    if prober.errors:
+        raise ValueError(prober.errors[0])
     return {"ask": spent, "bytes": float(one)}
 
 
--- a/benchmarks/capacity/reloading.py
+++ b/benchmarks/capacity/reloading.py
@@ -22,7 +22,7 @@
 
 
 def _object(classes: int, known: int) -> dict[str, Any]:
-    members = [sample.member(number) for number in range(known)]
+    members = [sample.discovery_entry(number) for number in range(known)]
     return {
         "name": "n0",
         "listen": f"127.0.0.1:{free_port()}",
--- a/benchmarks/capacity/request.py
+++ b/benchmarks/capacity/request.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from benchmarks.capacity import sample
-from benchmarks.capacity.cost import processor_time, resident
+from benchmarks.capacity.cost import processor_time, resident_memory
 from benchmarks.capacity.probes import stand_in
 from benchmarks.capacity.slope import ROOT, Cost, Slope
 from pulleyroute.emulator import Discovery
@@ -31,12 +31,12 @@
 from pulleyroute.lab.demo import free_port
 from pulleyroute.lab.load import SERVED, JobTarget, open_loop
 
-SECONDS = 5.0  # that a rate is kept up
+LOAD_DURATION_S = 5.0  # that a rate is kept up
 WARM_UP = 100  # requests before, which open the connections
 SLOTS = 64
-PATIENCE = 5.0  # seconds that a client waits
-LEAST_SERVED = 0.99
-CORE = 1e6  # microseconds of processor time a second: one core
+CLIENT_TIMEOUT_S = 5.0  # seconds that a client waits
+MIN_SERVED_SHARE = 0.99
+CORE_US_PER_S = 1e6  # microseconds of processor time a second: one core
 
 
 def _config(listen: str, discovery: Discovery) -> dict[str, Any]:
@@ -54,7 +54,7 @@
 
 
 @contextmanager
-def program(folder: Path, listen: str, discovery: Discovery) -> Iterator[int]:
+def dispatcher_process(folder: Path, listen: str, discovery: Discovery) -> Iterator[int]:
     """The dispatcher, ready; its process id."""
     path = folder / "config.json"
     path.write_text(json.dumps(_config(listen, discovery)))
@@ -89,14 +89,14 @@
 async def _load(listen: str, rate: int, pid: int) -> dict[str, float]:
     target = JobTarget(listen)
     mix = Mix((("class-0", 1.0),))
-    await open_loop(target, _even(WARM_UP, 1.0), mix, 1, PATIENCE, even=True)
+    await open_loop(target, _even(WARM_UP, 1.0), mix, 1, CLIENT_TIMEOUT_S, even=True)
     began, at = processor_time(pid), time.monotonic()
-    report = await open_loop(target, _even(rate, SECONDS), mix, 1, PATIENCE, even=True)
+    report = await open_loop(target, _even(rate, LOAD_DURATION_S), mix, 1, CLIENT_TIMEOUT_S, even=True)
     spent, lasted = processor_time(pid) - began, time.monotonic() - at
-    held = resident(pid)
+    held = resident_memory(pid)
     await target.close()
     served = sum(kind.endings[SERVED] for kind in report.kinds.values())
-    if served < LEAST_SERVED * report.due:
+    if served < MIN_SERVED_SHARE * report.due:
         raise ValueError(f"{served} of {report.due} requests were served")
     return {"time": spent / lasted * 1e6, "memory": float(held)}
 
@@ -106,7 +106,7 @@
     listen, discovery = f"127.0.0.1:{free_port()}", Discovery()
     with tempfile.TemporaryDirectory() as folder, stand_in("box", listen, SLOTS) as address:
         discovery.put("box", address)
-        with program(Path(folder), listen, discovery) as pid:
+        with dispatcher_process(Path(folder), listen, discovery) as pid:
             return asyncio.run(_load(listen, size, pid))
 
 
@@ -116,7 +116,7 @@
     (2, 6, 20, 66, 132, 200),
     (20, 66, 132),
     {
-        "time": Cost("Data path: the dispatcher's processor time a second", "us", CORE),
+        "time": Cost("Data path: the dispatcher's processor time a second", "us", CORE_US_PER_S),
         "memory": Cost("Data path: the dispatcher's resident memory", "bytes"),
     },
     measure,
--- a/benchmarks/capacity/ring.py
+++ b/benchmarks/capacity/ring.py
@@ -20,16 +20,16 @@
 
     positions: int
     replicas: int
-    least: int
+    min_replicas: int
 
-    def keepers(self, present: Set[int]) -> list[list[int]]:
+    def owners(self, present: Set[int]) -> list[list[int]]:
         """For each part the positions that keep to it; `present` are those that somebody holds."""
-        return [self._of(part, present) for part in range(self.positions)]
+        return [self._owners_of(part, present) for part in range(self.positions)]
 
-    def _of(self, part: int, present: Set[int]) -> list[int]:
+    def _owners_of(self, part: int, present: Set[int]) -> list[int]:
         found: list[int] = []
         for back in range(self.positions):
-            if back >= self.replicas and len(found) >= self.least:
+            if back >= self.replicas and len(found) >= self.min_replicas:
                 break
             position = (part - back) % self.positions
             if position in present:
@@ -37,16 +37,16 @@
         return found
 
 
-def kept(keepers: list[list[int]]) -> dict[int, set[int]]:
+def parts_by_position(owners: list[list[int]]) -> dict[int, set[int]]:
     """The same the other way round: for each position its parts."""
     parts: dict[int, set[int]] = {}
-    for part, positions in enumerate(keepers):
+    for part, positions in enumerate(owners):
         for position in positions:
             parts.setdefault(position, set()).add(part)
     return parts
 
 
-def drawn(destinations: int, dispatchers: int, size: int, seed: int) -> np.ndarray:
+def random_owner_counts(destinations: int, dispatchers: int, size: int, seed: int) -> np.ndarray:
     """How many dispatchers each destination has where each draws its subset by itself."""
     generator = np.random.default_rng(seed)
     counts = np.zeros(destinations, int)
@@ -55,13 +55,13 @@
     return counts
 
 
-def load(keepers: list[list[int]], rates: dict[int, float]) -> list[float]:
+def part_loads(owners: list[list[int]], rates: dict[int, float]) -> list[float]:
     """What each part gets where every dispatcher spreads its rate evenly over its parts."""
-    parts = kept(keepers)
-    return [sum(rates[position] / len(parts[position]) for position in positions) for positions in keepers]
+    parts = parts_by_position(owners)
+    return [sum(rates[position] / len(parts[position]) for position in positions) for positions in owners]
 
 
-def uneven(positions: Set[int], seed: int, sigma: float) -> dict[int, float]:
+def lognormal_rates(positions: Set[int], seed: int, sigma: float) -> dict[int, float]:
     """Rates of dispatchers of a log-normal law with a median of 1."""
     random = Random(seed)
     return {position: random.lognormvariate(0.0, sigma) for position in sorted(positions)}
--- a/benchmarks/capacity/sample.py
+++ b/benchmarks/capacity/sample.py
@@ -61,7 +61,7 @@
     return f"app-{number % 1000:03d}-{number:08x}"
 
 
-def member(number: int, phase: str = "active") -> dict[str, Any]:
+def discovery_entry(number: int, phase: str = "active") -> dict[str, Any]:
     """One instance in discovery's form."""
     return {
         "id": instance_name(number),
@@ -75,14 +75,14 @@
     }
 
 
-def word(revision: int, members: list[dict[str, Any]], complete: bool = False) -> bytes:
+def watch_line(revision: int, members: list[dict[str, Any]], complete: bool = False) -> bytes:
     """What a watch says, as one line."""
     return json.dumps({"revision": revision, "complete": complete, "members": members}).encode()
 
 
-def whole(size: int) -> bytes:
+def full_list_line(size: int) -> bytes:
     """A whole list of so many."""
-    return word(1, [member(number) for number in range(size)], complete=True)
+    return watch_line(1, [discovery_entry(number) for number in range(size)], complete=True)
 
 
 def entries(size: int) -> list[Entry]:
--- a/benchmarks/capacity/slope.py
+++ b/benchmarks/capacity/slope.py
@@ -13,9 +13,9 @@
 from benchmarks.capacity.series import Point, Series
 
 ROOT = Path(__file__).parent.parent.parent
-POINT_TIME = 170  # seconds that one process may take
+POINT_TIMEOUT_S = 170  # seconds that one process may take
 REPEATS, QUICK_REPEATS = 3, 1
-TRIES = 3  # of a point: a full machine may keep a process from what its slope asks of it
+MAX_ATTEMPTS = 3  # of a point: a full machine may keep a process from what its slope asks of it
 
 Measured = Mapping[str, float]
 
@@ -54,7 +54,7 @@
     quick: bool = False
     sizes: tuple[int, ...] = ()
     repeats: int = 0
-    tell: Callable[[str], None] = field(default=lambda line: None)
+    on_progress: Callable[[str], None] = field(default=lambda line: None)
 
     def series(self, slope: Slope) -> list[Series]:
         """Measure a slope; raises SlopeError."""
@@ -68,7 +68,9 @@
                 measured = self._point(slope.name, size)
                 for name, value in measured.items():
                     points[name].append(Point(size, value))
-                self.tell(f"{slope.name} {size}: " + ", ".join(f"{k} {v:.4g}" for k, v in measured.items()))
+                self.on_progress(
+                    f"{slope.name} {size}: " + ", ".join(f"{k} {v:.4g}" for k, v in measured.items())
+                )
         return [
             Series(
                 f"{slope.name}.{name}",
@@ -86,21 +88,21 @@
 
     def _point(self, name: str, size: int) -> dict[str, float]:
         """A point, once more where it could not be measured; each failure is told. Raises SlopeError."""
-        for _ in range(TRIES - 1):
+        for _ in range(MAX_ATTEMPTS - 1):
             try:
-                return fresh(name, size)
+                return measure_in_process(name, size)
             except SlopeError as exc:
-                self.tell(f"{exc}; measured again")
-        return fresh(name, size)
+                self.on_progress(f"{exc}; measured again")
+        return measure_in_process(name, size)
 
 
-def fresh(name: str, size: int) -> dict[str, float]:
+def measure_in_process(name: str, size: int) -> dict[str, float]:
     """One point of a slope in a process of its own; raises SlopeError."""
     command = [sys.executable, "-m", "benchmarks.capacity.point", name, str(size)]
     try:
-        done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=POINT_TIME)
+        done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=POINT_TIMEOUT_S)
     except subprocess.TimeoutExpired:
-        raise SlopeError(f"{name} at {size}: no result within {POINT_TIME} s") from None
+        raise SlopeError(f"{name} at {size}: no result within {POINT_TIMEOUT_S} s") from None
     if done.returncode != 0:
         last = done.stderr.strip().splitlines()[-1:] or ["no message"]
         raise SlopeError(f"{name} at {size}: {last[0]}")
--- a/benchmarks/capacity/store.py
+++ b/benchmarks/capacity/store.py
@@ -24,14 +24,14 @@
 from pulleyroute.net.loop import Coroutine, Loop
 
 CALLS = 20  # of each kind that a reading rests on
-PUTS = 50  # records of a transaction that fills the store
-PLACE = "127.0.0.1:0"
+PUTS_PER_TRANSACTION = 50  # records of a transaction that fills the store
+LISTEN_ADDRESS = "127.0.0.1:0"
 
 
 @contextmanager
 def _stand_in() -> Iterator[tuple[int, tuple[str, int]]]:
     """The store's stand-in: its process id and its address."""
-    command = [sys.executable, "-m", "pulleyroute.cli", "emulate", "store", PLACE]
+    command = [sys.executable, "-m", "pulleyroute.cli", "emulate", "store", LISTEN_ADDRESS]
     process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
     try:
         assert process.stdout is not None
@@ -43,21 +43,21 @@
 
 def _fill(client: Client, size: int) -> Coroutine[None]:
     pairs = [pair for number in range(size) for pair in member_records(number)]
-    for start in range(0, len(pairs), PUTS):
-        puts = [put(key, value) for key, value in pairs[start : start + PUTS]]
+    for start in range(0, len(pairs), PUTS_PER_TRANSACTION):
+        puts = [put(key, value) for key, value in pairs[start : start + PUTS_PER_TRANSACTION]]
         yield from client.call("/v3/kv/txn", {"success": puts})
 
 
-def _reading(client: Client) -> Coroutine[list[Item]]:
+def _read_group(client: Client) -> Coroutine[list[Item]]:
     _, items = yield from client.range(KEYS.prefix, KEYS.end)
     return items
 
 
 def _permit(client: Client, items: list[Item], number: int, until: int) -> Coroutine[None]:
     """A permit as `agent.py` asks for it: the word of each member as it was read."""
-    words = [compare_unchanged(item) for item in items if item.key.startswith(KEYS.of("word", ""))]
+    heartbeats = [compare_unchanged(item) for item in items if item.key.startswith(KEYS.of("word", ""))]
     key = Item(KEYS.of("permit", member_name(number)))
-    other = yield from client.commit(key, b'{"incarnation":1}', until, compares=words)
+    other = yield from client.commit(key, b'{"incarnation":1}', until, compares=heartbeats)
     if other is not None:
         raise ValueError("the permit was not written")
 
@@ -78,17 +78,19 @@
         return client / CALLS * 1e6, store / CALLS * 1e6
 
 
-def _measuring(loop: Loop, client: Client, store: int, size: int, out: dict[str, float]) -> Coroutine[None]:
+def _measure_calls(
+    loop: Loop, client: Client, store: int, size: int, costs: dict[str, float]
+) -> Coroutine[None]:
     yield from _fill(client, size)
-    items = yield from _reading(client)
+    items = yield from _read_group(client)
     meter = _Meter(store)
     for _ in range(CALLS):
-        items = yield from _reading(client)
-    out["read"], out["read_store"] = meter.read()
+        items = yield from _read_group(client)
+    costs["read"], costs["read_store"] = meter.read()
     meter.start()
     for number in range(CALLS):
         yield from _permit(client, items, number, loop.now() + 10_000_000)
-    out["permit"], out["permit_store"] = meter.read()
+    costs["permit"], costs["permit_store"] = meter.read()
     loop.stop()
 
 
@@ -105,7 +107,7 @@
     return len(head) + len(data) + len(answer)
 
 
-def _text(data: bytes) -> str:
+def _base64(data: bytes) -> str:
     return b64encode(data).decode()
 
 
@@ -118,19 +120,19 @@
         loop.stop()
 
     loop = Loop(fail)
-    out: dict[str, float] = {}
+    costs: dict[str, float] = {}
     with _stand_in() as (pid, address):
         client = Client(loop, BufferPool(), [address], 1)
-        loop.spawn(_measuring(loop, client, pid, size, out), "measuring")
+        loop.spawn(_measure_calls(loop, client, pid, size, costs), "measuring")
         loop.run()
-        group = {"key": _text(KEYS.prefix), "range_end": _text(KEYS.end)}
-        out["read_bytes"] = float(_call_bytes(address, "/v3/kv/range", group))
-        out["keepalive_bytes"] = float(
+        group = {"key": _base64(KEYS.prefix), "range_end": _base64(KEYS.end)}
+        costs["read_bytes"] = float(_call_bytes(address, "/v3/kv/range", group))
+        costs["keepalive_bytes"] = float(
             _call_bytes(address, "/v3/lease/keepalive", {"ID": "1234567890123456789"})
         )
     if failed:
         raise failed[0]
-    return out
+    return costs
 
 
 SLOPE = Slope(
--- a/benchmarks/capacity/subsets.py
+++ b/benchmarks/capacity/subsets.py
@@ -7,14 +7,14 @@
 from pathlib import Path
 from random import Random
 
-from benchmarks.capacity.ring import Ring, drawn, kept, load, uneven
+from benchmarks.capacity.ring import Ring, lognormal_rates, part_loads, parts_by_position, random_owner_counts
 from benchmarks.capacity.scale import RACKS, REPLICAS, SUBSET, ZONE_DESTINATIONS, ZONE_DISPATCHERS
 
 TABLE = "subsets.md"
-LEAST = 5
+MIN_REPLICAS = 5
 SEEDS, QUICK_SEEDS = 200, 10
 SIGMA = 0.5  # of the dispatchers' rates: one in twenty takes more than twice the median
-RING = Ring(ZONE_DISPATCHERS, REPLICAS, LEAST)
+RING = Ring(ZONE_DISPATCHERS, REPLICAS, MIN_REPLICAS)
 PART = ZONE_DESTINATIONS / ZONE_DISPATCHERS  # destinations
 
 COLUMNS = (
@@ -69,38 +69,40 @@
 
 def row(name: str, seeds: int) -> Row:
     """A state of the ring over so many seeds."""
-    whole = kept(RING.keepers(set(range(ZONE_DISPATCHERS))))
+    whole = parts_by_position(RING.owners(set(range(ZONE_DISPATCHERS))))
     counts: list[int] = []
     largest = changed = 0
     fullest = 0.0
     for seed in range(seeds):
         present = STATES[name](Random(seed))
-        keepers = RING.keepers(present)
-        parts = kept(keepers)
-        counts += [len(positions) for positions in keepers]
+        owners = RING.owners(present)
+        parts = parts_by_position(owners)
+        counts += [len(positions) for positions in owners]
         largest = max(largest, *(len(each) for each in parts.values()))
         changed = max(changed, sum(1 for position in present if parts[position] != whole[position]))
-        shares = load(keepers, uneven(present, seed, SIGMA))
+        shares = part_loads(owners, lognormal_rates(present, seed, SIGMA))
         fullest = max(fullest, max(shares) / (sum(shares) / len(shares)))
     return Row(name, min(counts), max(counts), largest * PART, changed, fullest)
 
 
 def report(folder: Path, seeds: int = SEEDS) -> None:
     """Write and print the table."""
-    random_counts = drawn(ZONE_DESTINATIONS, ZONE_DISPATCHERS, SUBSET, 1)
-    few, none = int((random_counts < LEAST).sum()), int((random_counts == 0).sum())
+    random_counts = random_owner_counts(ZONE_DESTINATIONS, ZONE_DISPATCHERS, SUBSET, 1)
+    few, none = int((random_counts < MIN_REPLICAS).sum()), int((random_counts == 0).sum())
     lines = [
         "# Subsets of a zone",
         "",
         f"Made by `python -m benchmarks.capacity subsets`: {ZONE_DISPATCHERS} positions, {REPLICAS} a part,",
-        f"{LEAST} at least; {seeds} seeds a state; rates of dispatchers log-normal with a sigma of {SIGMA}.",
+        f"{MIN_REPLICAS} at least; {seeds} seeds a state; rates of dispatchers log-normal with a "
+        f"sigma of {SIGMA}.",
         "",
         "| " + " | ".join(COLUMNS) + " |",
         "|" + " --- |" * len(COLUMNS),
         *(_line(row(name, seeds)) for name in STATES),
         "",
         f"Drawn at random, {SUBSET:,} destinations each: {random_counts.min()} to {random_counts.max()}",
-        f"dispatchers a destination; {none:,} of {ZONE_DESTINATIONS:,} have none, {few:,} under {LEAST}.",
+        f"dispatchers a destination; {none:,} of {ZONE_DESTINATIONS:,} have none, "
+        f"{few:,} under {MIN_REPLICAS}.",
         "",
     ]
     print("\n".join(lines))
--- a/tests/capacity/test_command.py
+++ b/tests/capacity/test_command.py
@@ -8,7 +8,7 @@
 
 from benchmarks.capacity import __main__ as command
 from benchmarks.capacity.series import Point, Series, read, write
-from benchmarks.capacity.slope import TRIES, Cost, Run, Slope, SlopeError
+from benchmarks.capacity.slope import MAX_ATTEMPTS, Cost, Run, Slope, SlopeError
 from benchmarks.capacity.slopes import MODULES, slope
 
 ROOT = Path(__file__).parent.parent.parent
@@ -76,13 +76,13 @@
         return subprocess.CompletedProcess(arguments, 0, '{"whole": 3.0}', "")
 
     monkeypatch.setattr(subprocess, "run", play)
-    (series,) = Run(repeats=2, tell=told.append).series(found)
+    (series,) = Run(repeats=2, on_progress=told.append).series(found)
     assert series.points == (Point(100, 3.0), Point(100, 3.0))
     assert asked[0] == [sys.executable, "-m", "benchmarks.capacity.point", "list", "100"]
     assert "list at 100: ValueError: no answer; measured again" in told
     with pytest.raises(SlopeError, match="list at 100: ValueError: no answer"):
         Run(repeats=1).series(found)
-    assert len(asked) == 3 + TRIES
+    assert len(asked) == 3 + MAX_ATTEMPTS
 
 
 def test_charts_and_fits_are_made_of_what_a_folder_holds(tmp_path: Path) -> None:
--- a/tests/capacity/test_fit.py
+++ b/tests/capacity/test_fit.py
@@ -18,7 +18,7 @@
     assert found.line.base == pytest.approx(7.0)
     assert found.line.slope == pytest.approx(0.5)
     assert found.line.residual == pytest.approx(0.0, abs=1e-9)
-    assert found.line.at(2000) == pytest.approx(1007.0)
+    assert found.line.predict(2000) == pytest.approx(1007.0)
     assert found.spread == 0.0
     assert found.prediction_error == pytest.approx(0.0, abs=1e-9)
 
@@ -32,7 +32,7 @@
 def test_a_square_is_told_from_a_line() -> None:
     found = fit(series(lambda size: [0.01 * size**2]))
     assert isinstance(found.law, Power) and found.power.exponent == pytest.approx(2.0)
-    assert found.law.at(2000) == pytest.approx(40_000.0)
+    assert found.law.predict(2000) == pytest.approx(40_000.0)
     assert found.prediction_error == pytest.approx(0.0, abs=1e-9)
 
 
--- a/tests/capacity/test_hollow.py
+++ b/tests/capacity/test_hollow.py
@@ -7,9 +7,9 @@
 from benchmarks.capacity import hollow, hollow_compare
 from benchmarks.capacity.hollow_fleet import Size
 from benchmarks.capacity.hollow_member import select
-from benchmarks.capacity.hollow_play import Times, play
+from benchmarks.capacity.hollow_play import Times, run_fleet
 from benchmarks.capacity.hollow_results import (
-    Play,
+    FleetRun,
     Results,
     quantiles,
     ratio,
@@ -19,17 +19,17 @@
 from benchmarks.capacity.hollow_series import INSTANCES, series
 from benchmarks.capacity.series import Point, read
 
-PATIENT = Times(patience=60.0, settle=0.0, window=1.0)
+PATIENT = Times(timeout=60.0, settle=0.0, window=1.0)
 STAGES = ["start", "rest", "zone lost", "zone back"]
 
 
-def stage(played, name):
-    return next(each for each in played.stages if each.name == name)
+def stage(run, name):
+    return next(each for each in run.stages if each.name == name)
 
 
 @pytest.fixture(scope="module")
 def five():
-    return play(Size(members=5, recorded=0, instances=10), PATIENT)
+    return run_fleet(Size(members=5, recorded=0, instances=10), PATIENT)
 
 
 def test_all_members_register_and_hear_a_zone_lost_and_back(five):
@@ -55,15 +55,15 @@
 
 
 def test_a_member_of_a_recorded_fleet_knows_all_of_it_and_each_change_of_a_zone():
-    played = play(Size(members=2, recorded=20, instances=4, watched=True), PATIENT)
-    assert played.ended_by == "" and played.not_run == []
-    assert [each.least_serving for each in played.stages] == [22, 22, 11, 22]
-    assert played.watches_lost == 0
-    assert played.rest is not None and played.rest.range_bytes > 22 * 300
+    run = run_fleet(Size(members=2, recorded=20, instances=4, watched=True), PATIENT)
+    assert run.ended_by == "" and run.not_run == []
+    assert [each.least_serving for each in run.stages] == [22, 22, 11, 22]
+    assert run.watches_lost == 0
+    assert run.rest is not None and run.rest.range_bytes > 22 * 300
 
 
 def test_real_dispatchers_are_counted_beside_hollow_members(monkeypatch):
-    monkeypatch.setattr(hollow_compare, "SETTLE", 0.0)
+    monkeypatch.setattr(hollow_compare, "SETTLE_TIME_S", 0.0)
     made = hollow_compare.compare(hollow=2, real=1, window=2.0)
     assert (made.hollow, made.real) == (2, 1)
     for each in (made.cpu, made.calls, made.store_bytes, made.discovery_bytes):
@@ -75,9 +75,9 @@
 
 
 def test_a_play_that_does_not_come_to_its_end_says_where_and_what_was_not_run():
-    played = play(Size(members=2, recorded=0, instances=4), Times(patience=0.0))
-    assert played.ended_by.startswith("start: not within 0 s; of 2: ")
-    assert played.not_run == ["rest", "zone lost", "zone back"]
+    run = run_fleet(Size(members=2, recorded=0, instances=4), Times(timeout=0.0))
+    assert run.ended_by.startswith("start: not within 0 s; of 2: ")
+    assert run.not_run == ["rest", "zone lost", "zone back"]
 
 
 @pytest.mark.parametrize(
@@ -122,8 +122,8 @@
     path = tmp_path / "hollow.json"
     results = Results("a machine")
     for ended in ("first", "second"):
-        results.add(Play(10, 0, 90, ended_by=ended))
-        results.add(Play(9, 991, 90))
+        results.add(FleetRun(10, 0, 90, ended_by=ended))
+        results.add(FleetRun(9, 991, 90))
         write_results(results, path)
         results = read_results(path)
     assert [(each.members, each.recorded, each.ended_by) for each in results.plays] == [
@@ -134,7 +134,9 @@
 
 def test_a_play_makes_series_that_the_fits_read(five, tmp_path):
     five.instances = INSTANCES
-    found = {each.name: each for each in series([five, Play(9, 991, INSTANCES, watched=True)], "a machine")}
+    found = {
+        each.name: each for each in series([five, FleetRun(9, 991, INSTANCES, watched=True)], "a machine")
+    }
     assert found["hollow.range_bytes"].points == (Point(5, float(five.rest.range_bytes)),)
     assert found["hollow.zone_back_known"].sizes == [5]
     path = tmp_path / "hollow.json"
--- a/tests/capacity/test_target.py
+++ b/tests/capacity/test_target.py
@@ -21,7 +21,7 @@
 
 
 def test_the_chosen_design_keeps_every_limit_of_a_dispatcher() -> None:
-    rows = target.dispatcher_rows(target.Slopes(HERE))
+    rows = target.dispatcher_rows(target.FittedCosts(HERE))
     for unit, limit in (("of a core", 0.011), ("bytes", 32e6), ("bytes/s", 11_000.0)):
         assert (
             sum(row.chosen for row in rows if row.unit == unit)
