--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -1,14 +1,18 @@
-"""Hollow members: what control costs a member, the store and discovery, and what breaks first, by fleet size.
+"""Measure, by fleet size, what control costs a member, the store and discovery, and what fails first.
 
     python -m benchmarks.capacity.hollow [--members N ...] [--recorded N ...] [--quick] [--out FILE]
 
-A hollow member is what `pulleyroute serve` builds, without a listener: decisions, discovery client, agent
-and store client, many members in a process, against stand-ins of the store and discovery over loopback.
-`--members` plays fleets whose members all live. `--recorded` plays fleets of which nine members live, one
-in each zone, and the others are records in the store: it shows what a member costs in a fleet of that size,
-and what the store answers it, without the load of the others; with `--watched` the store bears their watches
-too, and with `--live 1` the one that lives has its core to itself, but no zone is lost. Prints a table, and
-writes all that was measured as JSON to `--out`.
+A hollow member consists of what `pulleyroute serve` builds, except for the listener: decisions, discovery
+client, agent and store client. Many members share a process and talk over loopback to stand-ins of the store
+and of discovery.
+
+`--members` runs fleets in which all members are live. `--recorded` runs fleets with nine live members, one in
+each zone; the other members exist only as records in the store. Such a run measures the cost of a member in a
+fleet of that size, and the size of the store's answers, without the load of the other members. With
+`--watched` the store also serves the watches of the recorded members. With `--live 1` the only live member
+has a core to itself, but no zone is lost.
+
+The command prints a table, and writes all measurements as JSON to `--out`.
 """
 
 from __future__ import annotations
@@ -32,13 +36,13 @@
 MEMBERS, RECORDED = [10, 30, 100], [1000, 5700]
 QUICK_MEMBERS, QUICK_RECORDED = [10], [300]
 MAX_MEMBERS, MAX_RECORDED, MAX_INSTANCES = 5700, 20_000, 100_000
-COMPARED, MAX_COMPARED = 5, 50  # real dispatchers, beside as many hollow ones
-DESCRIPTORS_PER_MEMBER = 3  # two watches and a call
-RESERVED_DESCRIPTORS = 100  # descriptors of a process beside its members'
+COMPARED, MAX_COMPARED = 5, 50  # real dispatchers, compared with as many hollow members
+DESCRIPTORS_PER_MEMBER = 3  # two watches and a call to the store
+RESERVED_DESCRIPTORS = 100  # descriptors of a process other than those of its members
 
 
 def integer_between(minimum: int, maximum: int) -> Callable[[str], int]:
-    """A whole number within bounds, as an argument's type."""
+    """Return an argument type that accepts whole numbers from `minimum` to `maximum`."""
 
     def read(text: str) -> int:
         try:
@@ -55,10 +59,10 @@
 
 
 def parse(arguments: list[str]) -> argparse.Namespace:
-    """The arguments; ends with status 2 and one clear line where they can't be used."""
+    """Parse the arguments; exits with status 2 and a one-line error if they are invalid."""
     parser = argparse.ArgumentParser(
         prog="python -m benchmarks.capacity.hollow",
-        description="Play fleets of hollow members against stand-ins, and measure what control costs.",
+        description="Run fleets of hollow members against stand-ins, and measure what control costs.",
     )
     parser.add_argument("--members", type=integer_between(1, MAX_MEMBERS), nargs="*", metavar="N")
     parser.add_argument("--recorded", type=integer_between(ZONES + 1, MAX_RECORDED), nargs="*", metavar="N")
@@ -71,11 +75,13 @@
         type=integer_between(1, ZONES),
         default=ZONES,
         metavar="N",
-        help="members of --recorded that live",
+        help="live members of --recorded",
     )
-    parser.add_argument("--watched", action="store_true", help="the store holds recorded members' watches")
+    parser.add_argument("--watched", action="store_true", help="open the recorded members' watches too")
     parser.add_argument("--quick", action="store_true", help="small sizes and short windows")
-    parser.add_argument("--out", type=Path, metavar="FILE", help="JSON; plays of other sizes in it stay")
+    parser.add_argument(
+        "--out", type=Path, metavar="FILE", help="JSON; runs of other sizes in the file are kept"
+    )
     options = parser.parse_args(arguments)
     chosen = options.members is not None or options.recorded is not None or options.compare is not None
     if not chosen:
@@ -95,7 +101,7 @@
 
 
 def _check_descriptors(parser: argparse.ArgumentParser, options: argparse.Namespace) -> None:
-    """End with an error where one process would need more descriptors than it may have."""
+    """Exit with an error if one process would need more descriptors than its limit allows."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     members = max(options.members or [0])
     watches = max(options.recorded or [0]) if options.watched else 0
@@ -109,17 +115,17 @@
 
 
 def sizes(options: argparse.Namespace) -> list[Size]:
-    """What is to be played."""
-    lives = [Size(members, 0, options.instances) for members in options.members or []]
+    """Return the fleet sizes to run."""
+    live = [Size(members, 0, options.instances) for members in options.members or []]
     records = [
         Size(options.live, fleet - options.live, options.instances, options.watched)
         for fleet in options.recorded or []
     ]
-    return lives + records
+    return live + records
 
 
 def main(arguments: list[str]) -> int:
-    """Play what is asked for; 1 where a comparison could not be made."""
+    """Run the requested fleets; return 1 if the comparison failed."""
     options = parse(arguments)
     logger.remove()
     times = QUICK if options.quick else Times()
@@ -166,15 +172,15 @@
 
 
 def table_line(cells: Sequence[str]) -> str:
-    """A row of the table."""
+    """Format cells as a row of the table."""
     return "| " + " | ".join(cells) + " |"
 
 
 def table_row(run: FleetRun) -> str:
-    """One play as a row of the table; rest's figures are for one live member."""
+    """Format one run as a row of the table; the figures at rest are per live member."""
     stages = {stage.name: stage for stage in run.stages}
 
-    def known(name: str) -> str:
+    def time_to_know(name: str) -> str:
         stage = stages.get(name)
         return f"{stage.times['fleet_known'].longest:.2f}" if stage is not None and stage.complete else "-"
 
@@ -196,15 +202,15 @@
             if rest is not None
             else ["-"] * 5
         ),
-        known("zone lost"),
-        known("zone back"),
+        time_to_know("zone lost"),
+        time_to_know("zone back"),
         run.ended_by or "-",
     ]
     return table_line(cells)
 
 
 def comparison_text(comparison: Comparison) -> str:
-    """The ratios of a hollow member's cost to a real one's, each window's."""
+    """Format the ratios of a hollow member's cost to a real one's, one for each window."""
     lines = []
     for name in ("cpu", "calls", "store_bytes", "discovery_bytes"):
         each = getattr(comparison, name)
