--- a/benchmarks/capacity/hollow_commands.py
+++ b/benchmarks/capacity/hollow_commands.py
@@ -1,6 +1,6 @@
-"""Commands to a process of the hollow fleet: one JSON object a line on its standard input.
+"""Commands to a process of the hollow fleet: one JSON object per line on its standard input.
 
-The end of the input ends the process, so that none outlives whoever started it.
+A process exits at the end of its input, so that it does not outlive its parent.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Wait
 
 STDIN_FD = 0
-READ_SIZE = 65_536
+READ_SIZE = 65_536  # bytes
 
 
 def read_commands(loop: Loop, handle: Callable[[dict[str, Any]], dict[str, Any]]) -> Coroutine[None]:
-    """Hand each command to `handle`, and write what it returns as one line; stop the loop at the end."""
+    """Pass each command to `handle` and write its result as one line; stop the loop at the end of input."""
     os.set_blocking(STDIN_FD, False)
     incomplete = b""
     while True:
@@ -36,6 +36,6 @@
 
 
 def write_answer(value: dict[str, Any]) -> None:
-    """Write one line to whoever started this process."""
+    """Write one JSON line to the parent process."""
     sys.stdout.write(json.dumps(value) + "\n")
     sys.stdout.flush()
