--- a/benchmarks/capacity/hollow_compare.py
+++ b/benchmarks/capacity/hollow_compare.py
@@ -1,4 +1,4 @@
-"""Hollow members beside real `pulleyroute serve` processes in one fleet: what each costs at rest."""
+"""Compare the cost at rest of hollow members and real `pulleyroute serve` processes in one fleet."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from benchmarks.capacity.hollow_traffic import Count
 
 WINDOWS = 3
-POLL_INTERVAL_S = 0.2  # seconds between two questions whether all know of each other
-JOIN_TIMEOUT_S = 60.0  # seconds for all to come together
-SETTLE_TIME_S = 5.0  # seconds
+POLL_INTERVAL_S = 0.2  # between checks whether all members know of each other
+JOIN_TIMEOUT_S = 60.0  # for all members to learn of each other
+SETTLE_TIME_S = 5.0
 
 
 @dataclass(slots=True, frozen=True)
 class _Sample:
-    """What one process has used and exchanged so far. `cpu` in seconds, `memory` in bytes."""
+    """Resources and traffic of one process since its start. `cpu` in seconds, `memory` in bytes."""
 
     cpu: float
     memory: int
@@ -30,7 +30,7 @@
 
 
 def compare(hollow: int, real: int, window: float) -> Comparison:
-    """Measure both over a few windows of so many seconds; raises `NoAnswer` where one does not answer."""
+    """Measure both over `WINDOWS` windows of `window` seconds; raises `NoAnswer` if a process is silent."""
     size = Size(hollow, real, instances=90)
     with tempfile.TemporaryDirectory(prefix="hollow-") as folder, Fleet(size, Path(folder)) as fleet:
         members = fleet.prepare("all")
@@ -58,7 +58,7 @@
 
 
 def _sample(fleet: Fleet, members: Process) -> list[_Sample]:
-    """Of the process of hollow members first, then of each real one."""
+    """Return the sample of the hollow members' process, followed by those of the real ones."""
     used = members.usage()
     report = Report(**members.ask({"do": "report"}))
     samples = [
