--- a/benchmarks/capacity/hollow_config.py
+++ b/benchmarks/capacity/hollow_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a hollow fleet's members: one file, read once, and what differs by member."""
+"""The configuration of the hollow members: one file, read once, and the values that differ by member."""
 
 from __future__ import annotations
 
@@ -43,17 +43,17 @@
 
 
 def zone_of(number: int, zones: int) -> str:
-    """The zone of a member or instance: they take turns."""
+    """Return the zone of a member or instance; zones are assigned round-robin."""
     return f"z{number % zones}"
 
 
 def member_name(number: int) -> str:
-    """As long as the names of a large fleet are: records' bytes count."""
+    """Return a name as long as in a large fleet, since its length counts in the size of the records."""
     return f"member-{number:07d}"
 
 
 def config_text(number: int, members: int, zones: int, store: int, discovery: int) -> str:
-    """The file of one member, which `pulleyroute serve` takes as it is."""
+    """Return the configuration file of one member, which `pulleyroute serve` accepts unchanged."""
     return CONFIG_TEMPLATE.format(
         name=member_name(number),
         number=number,
@@ -68,12 +68,12 @@
 
 
 def hollow_config(path: Path) -> Config:
-    """The file without its listener: a hollow member takes no traffic."""
+    """Load the file without its listener: a hollow member serves no traffic."""
     return msgspec.structs.replace(load(path), listener={})
 
 
 def for_member(config: Config, number: int, zones: int) -> Config:
-    """The same configuration for another member of the fleet."""
+    """Return the same configuration for another member of the fleet."""
     assert config.fleet is not None
     pool = msgspec.structs.replace(config.pool[POOL], number=number)
     fleet = msgspec.structs.replace(config.fleet, zone=zone_of(number, zones))
