--- a/benchmarks/capacity/hollow_discovery.py
+++ b/benchmarks/capacity/hollow_discovery.py
@@ -1,10 +1,10 @@
-"""A stand-in for discovery: a list of instances in zones, of which one can be lost and come back.
+"""A stand-in for discovery: a list of instances in zones, one of which can be lost and restored.
 
     python -m benchmarks.capacity.hollow_discovery INSTANCES ZONES
 
-Serves `GET /api/targets`, whole or as a watch, over loopback, as `net/discovery.py` asks for it. Prints its
-port, then takes commands (`hollow_commands`): `{"zone": "z8", "phase": "left"}` changes all instances of a
-zone and answers with the revision that says so; `{"phase": ""}` changes nothing.
+Serves `GET /api/targets` over loopback as a full list or a watch, as `net/discovery.py` requests it. Prints
+its port, then reads commands (`hollow_commands`): `{"zone": "z8", "phase": "left"}` changes all instances of
+a zone and answers with the revision of that change; `{"phase": ""}` changes nothing.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Task, Wait
 from pulleyroute.net.process import on_error
 
-BACKLOG = 4096  # the whole fleet may connect at once
-HEARTBEAT_INTERVAL_US = 2_000_000  # us between two empty lines of a watch, as the protocol has it
+BACKLOG = 4096  # connections; the whole fleet may connect at once
+HEARTBEAT_INTERVAL_US = 2_000_000  # between empty lines of a watch; specified by the protocol
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 @dataclass(slots=True)
 class Instance:
-    """One entry of the list. `started`: Unix time in milliseconds."""
+    """One entry of the list. `started` is a Unix time in milliseconds."""
 
     name: str
     zone: str
@@ -37,7 +37,7 @@
     started: int = 1
 
     def entry(self) -> dict[str, Any]:
-        """Its form in the protocol."""
+        """Return the entry in the form of the protocol."""
         return {
             "id": self.name,
             "host_port": "127.0.0.1:1",
@@ -51,13 +51,13 @@
 
 
 class Discovery:
-    """Owns the list, its revision and the watches."""
+    """Serves the list; owns its revision and the watches."""
 
     def __init__(self, loop: Loop, instances: list[Instance]) -> None:
         self._loop, self._pool = loop, BufferPool()
         self._instances = instances
         self._revision = 1
-        self._changes: list[bytes] = []  # the one that made revision 2, and so on
+        self._changes: list[bytes] = []  # the first one led to revision 2
         self._watches: list[Task] = []
         self._socket = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
         self._socket.setblocking(False)
@@ -65,7 +65,7 @@
         loop.spawn(self._accept(), "accept")
 
     def change(self, zone: str, phase: str) -> int:
-        """Put all instances of a zone into a phase; returns the revision that says so."""
+        """Set the phase of all instances of a zone; returns the list's revision after the change."""
         changed = [each for each in self._instances if each.zone == zone and phase]
         for each in changed:
             each.phase = phase
@@ -133,7 +133,7 @@
 
 
 def main() -> None:
-    """Serve until the standard input ends."""
+    """Serve until the end of the standard input."""
     instances, zones = int(sys.argv[1]), int(sys.argv[2])
     now = time.time_ns() // 1_000_000
     loop = Loop(on_error)
