--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -1,4 +1,4 @@
-"""The processes of one play: stand-ins of the store and discovery, hollow members, real dispatchers."""
+"""The processes of one run: stand-ins of the store and discovery, hollow members, real dispatchers."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from pulleyroute.fleet.records import Keys
 
 ZONES = 9
-TWO_PROCESS_MEMBERS = 150  # live members from which on one process does not keep up with a start
+TWO_PROCESS_MEMBERS = 150  # live members; from this number on one process falls behind during a start
 RECORD_BATCH = 50  # members whose records are written in one transaction
-RECORD_LEASE_S = 3600  # seconds: the records of members that are only recorded stay for the play
-WATCHES_TIMEOUT_S = 30.0  # seconds for all watches of recorded members to stand
-POLL_INTERVAL_S = 0.2  # seconds between two questions whether they do
-STORE_TIMEOUT_S = 30.0  # seconds for one call of the preparation
+RECORD_LEASE_S = 3600  # longer than a run, for the records of members that are not live
+WATCHES_TIMEOUT_S = 30.0  # for opening the watches of all recorded members
+POLL_INTERVAL_S = 0.2  # between checks of the number of open watches
+STORE_TIMEOUT_S = 30.0  # for one call that writes or reads records
 
 
 @dataclass(slots=True, frozen=True)
 class Size:
-    """How large a fleet is: members that live, members that are only recorded in the store, instances.
+    """The size of a fleet: live members, members that exist only as records in the store, and instances.
 
-    `watched`: the store holds a watch of each recorded member too, which nobody acts on.
+    `watched`: each recorded member also has a watch at the store, whose events are discarded.
     """
 
     members: int
@@ -41,41 +41,41 @@
 
     @property
     def fleet(self) -> int:
-        """Members that the store tells of."""
+        """Members of which the store has records."""
         return self.members + self.recorded
 
     @property
     def zones(self) -> int:
-        """Nine, or one a member in fleets smaller than that."""
+        """`ZONES`, or one per live member where there are fewer of these."""
         return min(ZONES, self.members)
 
     @property
     def live_in_last_zone(self) -> int:
-        """Live members of the zone that is lost."""
+        """Live members of the last zone, which is lost during a run."""
         return len(range(self.zones - 1, self.members, self.zones))
 
     @property
     def in_last_zone(self) -> int:
-        """All members of the zone that is lost."""
+        """Live and recorded members of the last zone."""
         return len(range(self.zones - 1, self.fleet, self.zones))
 
     @property
     def processes(self) -> int:
-        """Processes of live members beside the last zone's."""
+        """Processes for the live members of all zones but the last."""
         return 1 if self.members < TWO_PROCESS_MEMBERS else 2
 
 
 class Fleet:
-    """Owns the processes of one play; use as a context manager."""
+    """Owns the processes of one run; use as a context manager."""
 
     def __init__(self, size: Size, folder: Path) -> None:
         self.size, self.folder = size, folder
-        self.other_zones: list[Process] = []  # members of all zones but the last
-        self.last_zone: Process | None = None  # members of the last zone
-        self.watches: Process | None = None  # of recorded members
+        self.other_zones: list[Process] = []  # live members of all zones but the last
+        self.last_zone: Process | None = None  # live members of the last zone
+        self.watches: Process | None = None  # watches of recorded members
         self.real: list[Process] = []
         self._all: list[Process] = []
-        self._leases: dict[int, str] = {}  # by zone, of its recorded members
+        self._leases: dict[int, str] = {}  # lease of the recorded members of each zone
         self.store = self._start("store", ["-m", "pulleyroute.cli", "emulate", "store", "127.0.0.1:0"])
         self.store_port = int(self.store.read_line().rpartition(":")[2])
         self.discovery = self._start(
@@ -106,7 +106,10 @@
     # Members
 
     def prepare(self, which: str, part: int = 0, parts: int = 1) -> Process:
-        """A process of hollow members, ready to start them: `rest`, `last` or `all` of the live ones."""
+        """Start a process for hollow members: `all` live ones, those of the `last` zone, or the `rest`.
+
+        The process is ready when this returns; its members start at the command `start`.
+        """
         path = self._write_config(0)
         live = ["0", str(self.size.members), str(self.size.zones)]
         command = ["-m", "benchmarks.capacity.hollow_member", str(path), *live, which, str(part), str(parts)]
@@ -115,7 +118,7 @@
         return process
 
     def prepare_all(self) -> None:
-        """The processes of all live members, of the last zone's apart where there is more than one zone."""
+        """Prepare all live members; those of the last of several zones get a separate process."""
         if self.size.zones == 1:
             self.other_zones = [self.prepare("all")]
             return
@@ -125,17 +128,17 @@
 
     @property
     def members(self) -> list[Process]:
-        """The processes of hollow members that are there."""
+        """The processes of hollow members that are running."""
         return self.other_zones if self.last_zone is None else [*self.other_zones, self.last_zone]
 
     def start_real(self, numbers: range) -> None:
-        """`pulleyroute serve` processes for these members."""
+        """Start `pulleyroute serve` processes for these members."""
         for number in numbers:
             command = ["-m", "benchmarks.capacity.hollow_real", str(self._write_config(number))]
             self.real.append(self._start(f"real-{number}", command))
 
     def lose_zone(self) -> None:
-        """Kill the process that holds the last zone's members, and end the recorded ones' lease."""
+        """Kill the process of the last zone's live members, and revoke the lease of its recorded ones."""
         assert self.last_zone is not None
         self.last_zone.kill()
         self._all.remove(self.last_zone)
@@ -145,21 +148,21 @@
             self._call("/v3/lease/revoke", {"ID": lease})
 
     def change_instances(self, phase: str) -> int:
-        """Put the last zone's instances into a phase; returns the list's revision that says so."""
+        """Set the phase of the last zone's instances; returns the list's revision after the change."""
         zone = zone_of(self.size.zones - 1, self.size.zones)
         return int(self.discovery.ask({"zone": zone, "phase": phase})["revision"])
 
     def real_count(self, process: Process, port: int) -> Count:
-        """What a real dispatcher has exchanged with a peer."""
+        """Return the traffic between a real dispatcher and a peer."""
         process.signal(signal.SIGUSR1)
         return peer_count(process.read()["traffic"], port)
 
     def usages(self) -> dict[str, Usage]:
-        """What each process has used so far."""
+        """Return what each process has used so far, by name."""
         return {process.name: process.usage() for process in self._all}
 
     def open_watches(self) -> None:
-        """Open the recorded members' watches, and wait until each stands or is lost; raises `NoAnswer`."""
+        """Open the recorded members' watches, and wait until each is open or lost; raises `NoAnswer`."""
         self.watches = self._start(
             "watches",
             ["-m", "benchmarks.capacity.hollow_watches", str(self.store_port), str(self.size.recorded)],
@@ -177,12 +180,12 @@
     # Records
 
     def record_members(self) -> None:
-        """Write the records of the members that do not live, as their agents would have written them."""
+        """Write the records of the members that are not live, as their agents would write them."""
         for zone in range(self.size.zones):
             self.record_zone(zone)
 
     def record_zone(self, zone: int) -> None:
-        """The same of one zone. One lease holds them, so that their end is one revision, not one each."""
+        """Write those of one zone with a common lease, whose end is one revision and not one per member."""
         numbers = [
             number for number in range(self.size.members, self.size.fleet) if number % self.size.zones == zone
         ]
@@ -198,7 +201,7 @@
             self._call("/v3/kv/txn", {"compare": [], "success": operations, "failure": []})
 
     def range_bytes(self) -> int:
-        """How many bytes the answer to an agent's reading of the whole has."""
+        """Return the size in bytes of the answer to an agent's read of the whole group."""
         keys = Keys(GROUP)
         return len(self._post("/v3/kv/range", {"key": _base64(keys.prefix), "range_end": _base64(keys.end)}))
 
@@ -216,7 +219,7 @@
 
 
 def peer_count(traffic: dict[str, dict[str, int]], port: int) -> Count:
-    """A report's count of one peer."""
+    """Return a report's count of one peer."""
     return Count(**traffic.get(str(port), {}))
 
 
