--- a/benchmarks/capacity/hollow_member.py
+++ b/benchmarks/capacity/hollow_member.py
@@ -1,13 +1,14 @@
-"""A process of hollow members: each a `Service` without a listener, with its agent, on one loop.
+"""A process of hollow members, each a `Service` without a listener with its agent, on one common loop.
 
     python -m benchmarks.capacity.hollow_member CONFIG FIRST END ZONES all|last|rest PART PARTS
 
-Members FIRST to END - 1: all of them, those of the last zone, or the rest; of these, every PARTS-th from
-PART on. A member is what `pulleyroute serve` builds from the same file, by the same code: decisions and
-their host, discovery client, agent and store client. It has no listener, so that no traffic comes.
+The process runs members FIRST to END - 1: all of them, those of the last zone, or the rest; of these, every
+PARTS-th from PART on. The same code builds a member and `pulleyroute serve` from the same file: decisions and
+their host, discovery client, agent and store client. Without a listener a member gets no traffic.
 
-Commands (`hollow_commands`): `start` builds all members at once; `expect` names what each is to know, counted
-from a time of the machine's monotonic clock; `report` answers with a `Report`.
+Commands (`hollow_commands`): `start` builds all members at once; `expect` sets the state that each member
+has to learn, and the time of the machine's monotonic clock from which this is timed; `report` answers with a
+`Report`.
 """
 
 from __future__ import annotations
@@ -33,15 +34,17 @@
 from pulleyroute.service.assembly import Service
 from pulleyroute.service.joining import join
 
-CHECK_INTERVAL_US = (
-    20_000  # us between two looks at what a member knows: the resolution of the times in a report
-)
-MAX_ERROR_LENGTH = 120  # characters of a log line that tell one error from another
+CHECK_INTERVAL_US = 20_000  # between checks of a member's state: the resolution of the times in a report
+MAX_ERROR_LENGTH = 120  # characters of a log line that are compared to count equal errors
 
 
 @dataclass(slots=True)
 class Expectation:
-    """What each member is to know: how many serve, from which revision of the list on, since when (us)."""
+    """The state that each member has to learn.
+
+    `serving`: number of serving members; `revision`: least revision of the list; `since`: the time in
+    microseconds from which members are timed.
+    """
 
     serving: int
     revision: int
@@ -50,14 +53,13 @@
 
 @dataclass(slots=True)
 class Report:
-    """What a process of members saw. Times in microseconds; the lists hold one value a member that is there.
-
-    `listed`, `registered`: from a member's start to its first list, and to its own record as serving in
-    what it knows. `list_known`, `fleet_known`: from the expectation's time to when a member met it.
-    `least_serving`, `most_serving`: how many serving members the members know of, the fewest and the most.
-    `without_record`: members that do not find their own record in what they know. `longest_turn`: the
-    longest time between two of the process's looks at its members, which come every 20 ms where it keeps
-    up.
+    """What a process of members observed. Times in microseconds, without members that have none yet.
+
+    `listed`, `registered`: from a member's start to its first list, and until its snapshot contains its own
+    record as serving. `list_known`, `fleet_known`: from the expectation's time until a member met it.
+    `least_serving`, `most_serving`: the fewest and the most serving members that any member knows of.
+    `without_record`: members whose snapshot does not contain their own record. `longest_turn`: the longest
+    time between two checks of the members by the process; checks come every 20 ms unless it is overloaded.
     """
 
     members: int
@@ -76,7 +78,7 @@
 
 
 class Member:
-    """One hollow member and the times at which it came to know things; 0 until then."""
+    """One hollow member, and the times at which it learned each part of the expected state; 0 until then."""
 
     def __init__(self, loop: Loop, config: Config) -> None:
         self._loop = loop
@@ -100,14 +102,14 @@
 
     @property
     def serving(self) -> int:
-        """How many members it knows to serve."""
+        """The number of members that serve according to this member's snapshot."""
         return sum(
             1 for record in self.agent.snapshot.heartbeats.values() if record.phase == Phase.SERVING.value
         )
 
     @property
     def has_record(self) -> bool:
-        """Whether its own record is in what it knows, as of the process that has the name."""
+        """Whether the snapshot contains this member's heartbeat, from the incarnation that is registered."""
         known = self.agent.snapshot
         record, registration = known.heartbeats.get(self._name), known.registrations.get(self._name)
         return (
@@ -115,7 +117,7 @@
         )
 
     def check(self, expected: Expectation | None) -> bool:
-        """Note what it has come to know; whether there is nothing left to wait for."""
+        """Record the time of what the member has learned; return whether it knows all that is expected."""
         now = self._loop.now()
         if not self.registered and self.has_record:
             self.registered = now
@@ -129,7 +131,7 @@
 
 
 class Members:
-    """Owns the members of one process and what is expected of them."""
+    """Owns the members of one process and the state that is expected of them."""
 
     def __init__(self, loop: Loop, config: Config, numbers: list[int], zones: int, traffic: Traffic) -> None:
         self._loop, self._config, self._numbers, self._zones = loop, config, numbers, zones
@@ -178,7 +180,7 @@
             self._longest_gap = max(self._longest_gap, now - self._last_check)
             self._last_check = now
             self._waiting = [member for member in self._waiting if not member.check(self._expected)]
-            # Looks would count as the members' own cost: with nothing left to wait for there are none.
+            # The cost of checks counts as the members' own, so they stop when no member is waited for.
             yield Wait(until=self._loop.now() + CHECK_INTERVAL_US) if self._waiting else Wait()
 
     def _note_error(self, message: str) -> None:
@@ -206,7 +208,7 @@
 
 
 def select(numbers: range, zones: int, which: str) -> list[int]:
-    """All of these members, those of the last zone, or the rest."""
+    """Return `all` of these members, those of the `last` zone, or the `rest`."""
     last = zones - 1
     if which == "all":
         return list(numbers)
@@ -214,7 +216,7 @@
 
 
 def main() -> None:
-    """Hold members until the standard input ends."""
+    """Run members until the end of the standard input."""
     first, end, zones = map(int, sys.argv[2:5])
     part, parts = map(int, sys.argv[6:8])
     numbers = select(range(first, end), zones, sys.argv[5])[part::parts]
