--- a/benchmarks/capacity/hollow_play.py
+++ b/benchmarks/capacity/hollow_play.py
@@ -1,4 +1,4 @@
-"""One play of a hollow fleet: all started at once, at rest, a zone lost and back."""
+"""One run of a hollow fleet: all members start at once, rest, lose a zone, and get it back."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from benchmarks.capacity.hollow_results import FleetRun, Quantiles, RestCost, Stage, quantiles
 from benchmarks.capacity.hollow_traffic import Count
 
-POLL_INTERVAL_S = 0.2  # seconds between two questions whether all members know
-MEMORY_SHARE = 0.5  # of the machine's, that a play may hold
-# The stages in their order, with the times of a `Report` that say something in them.
+POLL_INTERVAL_S = 0.2  # between checks whether all members know
+MEMORY_SHARE = 0.5  # of the machine's memory, for all processes of a run
+# The stages in their order, each with the times of a `Report` that it measures.
 STAGE_TIMES: dict[str, tuple[str, ...]] = {
     "start": ("listed", "registered", "fleet_known"),
     "rest": (),
@@ -27,15 +27,15 @@
 
 
 class StageFailed(Exception):
-    """A stage did not come to its end; the text says what was missing."""
+    """A stage did not complete; the text says what was missing."""
 
 
 @dataclass(slots=True, frozen=True)
 class Times:
-    """Bounds in seconds: each stage's patience, the pause before the window at rest, and the window.
+    """Seconds: the time-out of each stage, the pause before the window at rest, and the window.
 
-    A watch that hears nothing is opened anew after 10 s (`fleet/agent.py`, WATCH_TIMEOUT_US), so that a
-    window is a multiple of that.
+    A window is a multiple of 10 s, after which an agent reopens a watch without events (`fleet/agent.py`,
+    WATCH_TIMEOUT_US).
     """
 
     timeout: float = 40.0
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Baseline:
-    """What was used and exchanged up to a time."""
+    """Resources and traffic up to a time, from which a stage is measured."""
 
     at: int
     usages: dict[str, Usage]
@@ -59,14 +59,14 @@
 
 
 class _FleetRunner:
-    """Carries the stages out and keeps what they measure."""
+    """Runs the stages and stores their measurements."""
 
     def __init__(self, fleet: Fleet, times: Times, result: FleetRun) -> None:
         self._fleet, self._times, self._result = fleet, times, result
         self._size = fleet.size
 
     def run(self) -> None:
-        """All stages, in their order; raises `Broken` or `NoAnswer` at the first that fails."""
+        """Run all stages in order; raises `StageFailed` or `NoAnswer` at the first that fails."""
         fleet = self._fleet
         if self._size.recorded:
             fleet.record_members()
@@ -176,7 +176,7 @@
         return sum(report.calls for report in reports), store, discovery
 
     def _finish(self, name: str, baseline: _Baseline, complete: bool, members: int) -> Stage:
-        """Take the stage's measures; raises `Broken` where it did not come to its end."""
+        """Take the measurements of a stage; raises `StageFailed` if it did not complete."""
         after = self._fleet.usages()
         ended = monotonic_us()
         reports = self._reports()
@@ -205,7 +205,7 @@
 
 
 def _errors(reports: list[Report]) -> Counter[str]:
-    """How often members logged each error so far."""
+    """Return how often members have logged each error."""
     found: Counter[str] = Counter()
     for report in reports:
         found.update(report.errors)
@@ -231,7 +231,7 @@
 
 
 def _check_memory(fleet: Fleet) -> None:
-    """Guard the machine: raises `Broken` where the play holds more than its share of the memory."""
+    """Raise `StageFailed` if the run exceeds its share of memory, before the machine runs out."""
     held = sum(used.memory for used in fleet.usages().values())
     limit = MEMORY_SHARE * os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
     if held > limit:
@@ -239,7 +239,7 @@
 
 
 def run_fleet(size: Size, times: Times) -> FleetRun:
-    """Play all stages at one size; what breaks is in the result, not raised."""
+    """Run all stages at one size; a failure is part of the result and not raised."""
     result = FleetRun(size.members, size.recorded, size.instances, size.watched)
     with tempfile.TemporaryDirectory(prefix="hollow-") as folder, Fleet(size, Path(folder)) as fleet:
         try:
