--- a/benchmarks/capacity/hollow_process.py
+++ b/benchmarks/capacity/hollow_process.py
@@ -1,4 +1,4 @@
-"""Processes of a hollow fleet as whoever started them sees them: their lines, processor time and memory."""
+"""Child processes of a hollow fleet: their output lines, processor time and memory."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from pathlib import Path
 from typing import Any
 
-PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
-ANSWER_TIMEOUT_S = 60.0  # seconds for one line: a process in the middle of a storm answers late
-TERMINATION_TIMEOUT_S = 5.0  # seconds between SIGTERM and SIGKILL
+PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")  # bytes
+ANSWER_TIMEOUT_S = 60.0  # for one line; a process answers late while all its members start or reconnect
+TERMINATION_TIMEOUT_S = 5.0  # between SIGTERM and SIGKILL
 
 
 class NoAnswer(Exception):
-    """A process has ended, or was silent for too long; the text says which."""
+    """A process has exited, or did not answer in time; the text says which."""
 
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """Processor time in seconds since the process's start, resident memory in bytes."""
+    """Processor time in seconds since the start of the process, and resident memory in bytes."""
 
     cpu: float
     memory: int
 
 
 class Process:
-    """One process of this run. Owns its pipes; `stop` ends it."""
+    """One child process. Owns its pipes; `stop` ends it."""
 
     def __init__(self, name: str, command: list[str], folder: Path) -> None:
         self.name = name
@@ -45,10 +45,11 @@
 
     @property
     def pid(self) -> int:
+        """The process id."""
         return self._process.pid
 
     def read_line(self, timeout: float = ANSWER_TIMEOUT_S) -> str:
-        """The next line that it prints; raises `NoAnswer`."""
+        """Return the next line that the process prints; raises `NoAnswer`."""
         until = time.monotonic() + timeout
         while b"\n" not in self._unread:
             ready, _, _ = select.select([self._output], [], [], max(0.0, until - time.monotonic()))
@@ -62,12 +63,12 @@
         return line.decode()
 
     def read(self, timeout: float = ANSWER_TIMEOUT_S) -> dict[str, Any]:
-        """The next line, which is a JSON object; raises `NoAnswer`."""
+        """Return the JSON object on the next line; raises `NoAnswer`."""
         value: dict[str, Any] = json.loads(self.read_line(timeout))
         return value
 
     def send(self, command: dict[str, Any]) -> None:
-        """Give a command, and do not wait for its answer; raises `NoAnswer`."""
+        """Send a command without waiting for its answer; raises `NoAnswer`."""
         assert self._process.stdin is not None
         try:
             self._process.stdin.write(json.dumps(command).encode() + b"\n")
@@ -76,16 +77,16 @@
             raise NoAnswer(f"{self.name}: ended with {self._process.wait()}") from None
 
     def ask(self, command: dict[str, Any], timeout: float = ANSWER_TIMEOUT_S) -> dict[str, Any]:
-        """Give a command and wait for its answer; raises `NoAnswer`."""
+        """Send a command and return its answer; raises `NoAnswer`."""
         self.send(command)
         return self.read(timeout)
 
     def signal(self, number: int) -> None:
-        """Signal this process alone."""
+        """Send a signal to this process only."""
         self._process.send_signal(number)
 
     def usage(self) -> Usage:
-        """What it has used, from the kernel's accounts (`/proc/PID/schedstat`, `statm`); for one thread."""
+        """Return the usage from `/proc/PID/schedstat` and `statm`; processor time of the main thread."""
         folder = Path(f"/proc/{self.pid}")
         try:
             nanoseconds = int((folder / "schedstat").read_text().split()[0])
@@ -95,12 +96,12 @@
         return Usage(nanoseconds / 1e9, pages * PAGE_SIZE)
 
     def kill(self) -> None:
-        """As a lost machine does it: without a last word."""
+        """End the process with SIGKILL, without a clean shutdown, as if its machine were lost."""
         self._process.kill()
         self._close()
 
     def stop(self) -> None:
-        """SIGTERM, and SIGKILL where that is not heard."""
+        """End the process with SIGTERM, then with SIGKILL if it has not exited in time."""
         self._process.terminate()
         try:
             self._process.wait(TERMINATION_TIMEOUT_S)
@@ -117,5 +118,5 @@
 
 
 def monotonic_us() -> int:
-    """The machine's monotonic clock in microseconds, as all processes of the run read it."""
+    """Return the machine's monotonic clock in microseconds, which all processes of a run share."""
     return time.monotonic_ns() // 1000
