--- a/benchmarks/capacity/hollow_real.py
+++ b/benchmarks/capacity/hollow_real.py
@@ -1,8 +1,8 @@
-"""One real `pulleyroute serve` process whose traffic is counted as that of the hollow members is.
+"""One real `pulleyroute serve` process whose traffic is counted like that of the hollow members.
 
     python -m benchmarks.capacity.hollow_real CONFIG
 
-SIGUSR1 makes it print its counts, one JSON object a line, by the peer's port.
+On SIGUSR1 the process prints its counts by peer port, as one JSON object on a line.
 """
 
 from __future__ import annotations
