--- a/benchmarks/capacity/hollow_results.py
+++ b/benchmarks/capacity/hollow_results.py
@@ -1,4 +1,4 @@
-"""What the plays of a hollow fleet measure, as it goes into the JSON file."""
+"""The measurements of hollow fleets, in the form of the JSON file. Field names are keys of the file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Quantiles:
-    """Times in seconds of so many members out of those that were expected."""
+    """Quantiles, in seconds, of the times of `count` members out of `expected`."""
 
     count: int
     expected: int
@@ -24,14 +24,15 @@
 
 @dataclass(slots=True)
 class Stage:
-    """One part of a play. Processor times in seconds and memory in bytes, by process.
-
-    `complete`: whether all that was waited for came within the stage's patience. `store`, `discovery`: what
-    all live members exchanged with them; each call to the store is one connection. `least_serving`,
-    `most_serving`: how many serving members a live member knew of at the end. `without_record`: live
-    members that did not find their own record then. `longest_turn`: the longest time, in seconds, for which
-    a process of members did not come to look at them; where it is large, times are those of the machine,
-    not of the fleet. `errors`: the log's warnings and errors during the stage, by text.
+    """One stage of a run. Processor times in seconds and memory in bytes, by process.
+
+    `complete`: whether the expected state was reached within the stage's time-out. `store`, `discovery`: the
+    traffic of all live members with them; each call to the store is one connection. `least_serving`,
+    `most_serving`: the fewest and the most serving members that a live member knew of at the end.
+    `without_record`: live members whose snapshot did not contain their own record at the end.
+    `longest_turn`: the longest time in seconds between two checks of the members by their process; where it
+    is large, the times show the limits of the machine and not of the fleet. `errors`: the number of warnings
+    and errors logged during the stage, by text.
     """
 
     name: str
@@ -53,10 +54,11 @@
 
 @dataclass(slots=True)
 class RestCost:
-    """What rest costs, a second: for each live member, and at the store.
+    """Costs per second at rest: for each live member, and at the store.
 
-    Bytes are payload, both ways. `member_memory`: resident bytes of the members' processes beyond what they
-    had before they built members, for each. `range_bytes`: of the answer to one reading of the whole.
+    Bytes are payload in both directions. `member_memory`: growth of the resident memory of the members'
+    processes since before they built their members, in bytes per member. `range_bytes`: size of the answer
+    to a read of the whole group.
     """
 
     window: float
@@ -74,10 +76,10 @@
 
 @dataclass(slots=True)
 class FleetRun:
-    """One play: its size, its stages as far as they went, and why it went no further.
+    """One run: its size, the stages that were reached, and the reason if it ended early.
 
-    `watched`: recorded members had watches at the store, of which `watches_lost` ended during the play.
-    `load`: the load average of a minute at its end, of all programs on the machine; 0 where it was not noted.
+    `watched`: recorded members had watches at the store, of which `watches_lost` ended during the run.
+    `load`: the machine's one-minute load average at the end of the run; 0 if it was not recorded.
     """
 
     members: int
@@ -93,20 +95,21 @@
 
     @property
     def fleet(self) -> int:
-        """Members that the store tells of."""
+        """Members of which the store has records."""
         return self.members + self.recorded
 
     @property
     def size(self) -> tuple[bool, int, int, int]:
-        """What tells this play from others."""
+        """The key of this run: runs of equal size replace each other."""
         return self.watched, self.recorded, self.members, self.instances
 
 
 @dataclass(slots=True, frozen=True)
 class Ratio:
-    """A hollow member's cost over a real one's, in each window, with the real ones' own spread.
+    """The ratio of a hollow member's cost to a real one's in each window, with the spread of the real ones.
 
-    `real_least`, `real_most`: of single real members, over their mean, in all windows.
+    `real_least`, `real_most`: the least and the greatest cost of a single real member, relative to the mean
+    of its window, over all windows.
     """
 
     hollow: list[float]
@@ -118,7 +121,7 @@
 
 @dataclass(slots=True)
 class Comparison:
-    """Hollow members beside real ones in one fleet at rest; costs a second and member, a value a window."""
+    """Hollow and real members in one fleet at rest: costs per second and member, one value per window."""
 
     hollow: int
     real: int
@@ -132,7 +135,7 @@
 
 
 def quantiles(microseconds: list[int], expected: int) -> Quantiles:
-    """The median, the 99th in a hundred, and the longest: 0 where there is none."""
+    """Return the median, the 99th percentile and the maximum; all are 0 if there are no times."""
     if not microseconds:
         return Quantiles(0, expected, 0.0, 0.0, 0.0)
     ordered = sorted(microseconds)
@@ -144,7 +147,7 @@
 
 
 def ratio(hollow: list[float], real: list[list[float]]) -> Ratio:
-    """Compare by window: `hollow` one mean a window, `real` one value a member in each."""
+    """Compare window by window: `hollow` has one mean per window, `real` one value per member."""
     means = [sum(window) / len(window) for window in real]
     spread = [value / mean for window, mean in zip(real, means, strict=True) if mean for value in window]
     ratios = [each / mean for each, mean in zip(hollow, means, strict=True) if mean]
@@ -153,7 +156,7 @@
 
 @dataclass(slots=True)
 class Results:
-    """What the file holds: one play a size, the latest, the latest comparison, and the plays' series."""
+    """The contents of the file: the latest run of each size, the latest comparison, and the runs' series."""
 
     machine: str = ""
     series: list[Series] = field(default_factory=list)
@@ -161,21 +164,21 @@
     comparison: Comparison | None = None
 
     def add(self, run: FleetRun) -> None:
-        """Put a play in the place of an earlier one of its size."""
+        """Add a run; it replaces an earlier one of the same size."""
         self.plays = [each for each in self.plays if each.size != run.size]
         self.plays.append(run)
         self.plays.sort(key=lambda each: each.size)
 
 
 def read_results(path: Path) -> Results:
-    """The results in a file, none where there is no file; raises ValueError where it holds something else."""
+    """Read the results of a file, empty ones if there is no file; raises ValueError if it is malformed."""
     if not path.exists():
         return Results()
     return msgspec.json.decode(path.read_bytes(), type=Results, strict=False)
 
 
 def write_results(results: Results, path: Path) -> None:
-    """Write the file whole, indented; a reader sees the old or the new one."""
+    """Write the file, indented, and replace the old one atomically."""
     draft = path.with_suffix(".draft")
     draft.write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1) + b"\n")
     draft.replace(path)
