--- a/benchmarks/capacity/hollow_series.py
+++ b/benchmarks/capacity/hollow_series.py
@@ -1,4 +1,4 @@
-"""The plays of hollow fleets as series of size against cost, for fits and charts of `docs/CAPACITY.md`."""
+"""The runs of hollow fleets as series of cost by size, for the fits and charts of `docs/CAPACITY.md`."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from benchmarks.capacity.series import Point, Series
 
 COMMAND = "python -m benchmarks.capacity.hollow --out docs/measured/capacity/hollow.json"
-MEMBERS = "members"  # as the charts name the size
-INSTANCES = 90  # of the list in the plays that make up a series
-# What a dispatcher may spend on control, from the users' target: bytes a second, share of a core, bytes.
+MEMBERS = "members"  # the size unit in the charts
+INSTANCES = 90  # in the list, in the runs that make up a series
+# Limits of the control cost of one dispatcher in the users' target: bytes per second, share of a core, bytes.
 BYTES_LIMIT, CORE_LIMIT, MEMORY_LIMIT = 11_000.0, 0.011, 32e6
 
 
 @dataclass(slots=True, frozen=True)
 class _Cost:
-    """One cost: how it is read from a play, None where the play does not say it."""
+    """One cost; `read` returns its value in a run, or None if the run did not measure it."""
 
     name: str
     title: str
@@ -29,9 +29,10 @@
 
 
 def series(plays: Iterable[FleetRun], machine: str) -> list[Series]:
-    """All costs that at least one play says.
+    """Return the series of all costs that at least one run measured.
 
-    Plays of other lists, of bare watches and of fleets with fewer live members than zones are left out.
+    Runs with another number of instances, with watches of recorded members, or with fewer live members than
+    zones are left out.
     """
     kept = [
         run
@@ -50,7 +51,7 @@
 
 
 def _rest(read: Callable[[RestCost], float], alive: bool | None = None) -> Callable[[FleetRun], float | None]:
-    """From the cost at rest; `alive`: only where all members live (True), or only where some do (False)."""
+    """Read the cost at rest; `alive`: only with all members live (True), or with some recorded (False)."""
 
     def value(run: FleetRun) -> float | None:
         wanted = alive is None or alive == (run.recorded == 0)
@@ -62,7 +63,7 @@
 def _stage(
     name: str, read: Callable[[Stage], float], alive: bool = False
 ) -> Callable[[FleetRun], float | None]:
-    """From one stage that came to its end."""
+    """Read a value of one stage, if it completed; `alive`: only of runs with all members live."""
 
     def value(run: FleetRun) -> float | None:
         stage = next((each for each in run.stages if each.name == name and each.complete), None)
