--- a/benchmarks/capacity/hollow_traffic.py
+++ b/benchmarks/capacity/hollow_traffic.py
@@ -1,8 +1,8 @@
-"""Counts of connections and payload bytes that a process exchanges with each peer.
+"""Count the connections and payload bytes that a process exchanges with each peer.
 
-The counters stand in `net.http.Stream`, which the store's client and the discovery client share, so that a
-hollow member and a `pulleyroute serve` process are counted by the same code. Bytes are those handed to and
-taken from the socket: HTTP heads and bodies, without the headers of TCP and IP.
+The counters are in `net.http.Stream`, which the store's client and the discovery client share, so that the
+same code counts for a hollow member and for a `pulleyroute serve` process. Bytes are those written to and
+read from the socket: HTTP heads and bodies, without TCP and IP headers.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Count:
-    """What was exchanged with one peer: connections made, payload bytes sent and received."""
+    """Traffic with one peer: connections opened, payload bytes sent and received."""
 
     connections: int = 0
     sent: int = 0
@@ -36,21 +36,21 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """The counts of one process, by the peer's port."""
+    """The counts of one process by peer port."""
 
     peers: dict[int, Count] = field(default_factory=dict)
 
     def count_of(self, port: int) -> Count:
-        """The count of one peer, made at its first connection."""
+        """Return the count of one peer; it is created at the first connection."""
         return self.peers.setdefault(port, Count())
 
 
 def count_traffic() -> Traffic:
-    """Count all connections that this process makes from here on."""
+    """Count all connections that this process opens after this call."""
     traffic = Traffic()
 
     class CountedStream(http.Stream):
-        """A stream whose bytes are added to its peer's count."""
+        """A stream that adds its bytes to the count of its peer."""
 
         def __init__(self, loop: Loop, pool: BufferPool, sock: socket.socket, server: bool) -> None:
             super().__init__(loop, pool, sock, server)
