--- a/benchmarks/capacity/hollow_watches.py
+++ b/benchmarks/capacity/hollow_watches.py
@@ -1,9 +1,9 @@
-"""Watches of the store that nobody acts on: the load that recorded members' watches put on it.
+"""Watches of the store whose events are discarded, to add the load of recorded members' watches.
 
     python -m benchmarks.capacity.hollow_watches STORE_PORT COUNT
 
-Each is opened as an agent opens its own, and what comes is read and dropped. Any command (`hollow_commands`)
-is answered with how many watches stand, how many were lost, and the bytes read.
+Each watch is opened as an agent opens its own; its events are read and discarded. Any command
+(`hollow_commands`) is answered with the numbers of open and of lost watches, and the bytes read.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Wait
 from pulleyroute.net.process import on_error
 
-CONNECT_TIMEOUT_US = 10_000_000  # us
-OPEN_INTERVAL_US = 1_000  # us between two watches that are opened
+CONNECT_TIMEOUT_US = 10_000_000
+OPEN_INTERVAL_US = 1_000  # between the openings of two watches
 
 
 class Watches:
-    """Owns the connections and their counts."""
+    """Owns the connections of the watches, and counts them."""
 
     def __init__(self, loop: Loop, port: int, count: int) -> None:
         self._loop, self._pool, self._address = loop, BufferPool(), ("127.0.0.1", port)
@@ -74,7 +74,7 @@
 
 
 def main() -> None:
-    """Hold the watches until the standard input ends."""
+    """Keep the watches open until the end of the standard input."""
     loop = Loop(on_error)
     watches = Watches(loop, int(sys.argv[1]), int(sys.argv[2]))
 
