--- a/benchmarks/capacity/target.py
+++ b/benchmarks/capacity/target.py
@@ -1,4 +1,4 @@
-"""What control costs at the target, worked out from the fits: today's design and the chosen one side by side.
+"""Cost of control at the target size, computed from the fits: today's design beside the chosen one.
 
 `docs/CAPACITY.md` explains the chosen design and quotes these tables.
 """
@@ -46,27 +46,27 @@
 
 
 def dispatcher_rows(costs: FittedCosts) -> list[Row]:
-    """What control costs one dispatcher, in shares of a core, bytes, and bytes a second."""
+    """Return the cost of control for one dispatcher: shares of a core, bytes, and bytes per second."""
     return [*_processor(costs), *_memory(costs), *_network(costs)]
 
 
 def _processor(costs: FittedCosts) -> list[Row]:
-    def change(size: float) -> float:
+    def change_cost(size: float) -> float:
         return costs.cost_at("list.change", size) + costs.cost_at("decisions.change", size)
 
     def core(part: str, today: float, chosen: float, source: str) -> Row:
         return Row(part, "of a core", today / 1e6, chosen / 1e6, source)
 
-    mine = SUBSET / DESTINATIONS
+    subset_share = SUBSET / DESTINATIONS
     report = costs.unit_cost("reports.read") + costs.unit_cost("reports.learn")
     probe, small = costs.unit_cost("probes.ask"), costs.cost_at("store.read", MEMBER_RECORDS)
     reread = costs.cost_at("store.read", DISPATCHERS) + costs.cost_at("members.known", DISPATCHERS)
-    heard = costs.cost_at("members.known", DISPATCHERS) + costs.cost_at("members.step", DISPATCHERS)
+    update = costs.cost_at("members.known", DISPATCHERS) + costs.cost_at("members.step", DISPATCHERS)
     return [
         core(
             "changes of the list",
-            LIST_CHANGES_PER_S * change(DESTINATIONS),
-            LIST_CHANGES_PER_S * mine * change(SUBSET),
+            LIST_CHANGES_PER_S * change_cost(DESTINATIONS),
+            LIST_CHANGES_PER_S * subset_share * change_cost(SUBSET),
             "list.change, decisions.change",
         ),
         core(
@@ -91,7 +91,7 @@
         ),
         core(
             "fleet: restarts heard",
-            RESTARTS_PER_S * RECORD_CHANGES_PER_RESTART * heard,
+            RESTARTS_PER_S * RECORD_CHANGES_PER_RESTART * update,
             0.0,
             "members.known, members.step",
         ),
@@ -105,11 +105,11 @@
 
 
 def _memory(costs: FittedCosts) -> list[Row]:
-    def held(size: float) -> float:
+    def list_memory(size: float) -> float:
         return costs.cost_at("list.memory", size) + costs.cost_at("decisions.memory", size)
 
     return [
-        Row("list", "bytes", held(DESTINATIONS), held(SUBSET), "list.memory, decisions.memory"),
+        Row("list", "bytes", list_memory(DESTINATIONS), list_memory(SUBSET), "list.memory, decisions.memory"),
         Row(
             "fleet's records",
             "bytes",
@@ -123,13 +123,13 @@
 def _network(costs: FittedCosts) -> list[Row]:
     change, probe = costs.cost_at("list.change_bytes", 100), costs.cost_at("probes.bytes", 100)
     lease = costs.cost_at("store.keepalive_bytes", 100)
-    mine = SUBSET / DESTINATIONS
+    subset_share = SUBSET / DESTINATIONS
     return [
         Row(
             "changes of the list",
             "bytes/s",
             LIST_CHANGES_PER_S * change,
-            LIST_CHANGES_PER_S * mine * change,
+            LIST_CHANGES_PER_S * subset_share * change,
             "list.change_bytes",
         ),
         Row("summaries of zones", "bytes/s", 0.0, SUMMARIES_PER_S * RECORD_BYTES, "assumed record"),
@@ -158,7 +158,7 @@
 
 
 def machine_rows(costs: FittedCosts) -> list[Row]:
-    """What control costs the machines set aside for it together; processor time is that of the stand-in."""
+    """Return the cost for all machines dedicated to control; processor time is that of the stand-in."""
     change, whole = costs.cost_at("list.change_bytes", 100), costs.cost_at("list.whole_bytes", DESTINATIONS)
     read, small = (
         costs.cost_at("store.read_store", DISPATCHERS),
@@ -207,7 +207,7 @@
 
 
 def facts(costs: FittedCosts) -> list[str]:
-    """Single figures that the page quotes."""
+    """Return the single figures that `docs/CAPACITY.md` quotes."""
     entry = costs.unit_cost("list.whole_bytes")
     member = costs.unit_cost("store.read_bytes")
     stored = MAX_BACKLOG_EVENTS * EVENT_BYTES
@@ -249,7 +249,7 @@
 
 
 def report(folder: Path) -> None:
-    """Write and print the tables; raises SeriesError where a series is missing."""
+    """Write and print the tables; raises SeriesError if a series is missing."""
     costs = FittedCosts(folder)
     lines = ["# Control at the target", "", "Made by `python -m benchmarks.capacity target`.", ""]
     lines += ["## One dispatcher", "", *_table(dispatcher_rows(costs)), ""]
@@ -282,7 +282,7 @@
 
 
 def _number(value: float) -> str:
-    """Three digits, in thousands, millions and so on."""
+    """Format with three significant digits and a prefix for thousands, millions and so on."""
     for power, letter in ((1e12, "T"), (1e9, "G"), (1e6, "M"), (1e3, "k")):
         if value >= power:
             return f"{value / power:.3g} {letter}"
