--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -1,7 +1,8 @@
-"""The decisions by the length of the list: memory, a list and a change taken, a turn of the tick, a pick.
+"""Cost of the decisions by length of the list: memory, handling a full list or a change, a tick, a pick.
 
-A pick is one job from its arrival to its end: the draw, the attempt's start, its end. It is measured for a
-class that any kind of instance runs, and for one of a single kind, which looks through the whole list.
+A pick covers one job from arrival to end: the random choice of an instance, and the start and the end of the
+attempt. It is measured for a class that any kind of instance runs, and for a class of a single kind, for
+which the whole list is searched.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 def _settings() -> api.Settings:
-    """The second class is for one kind of instance alone."""
+    """Return the sample settings, with the second class restricted to one kind of instance."""
     settings = sample.settings()
     any_kind, one_kind = settings.classes
     return replace(settings, classes=[any_kind, replace(one_kind, kind=0)])
@@ -48,7 +49,7 @@
 
     def pick() -> None:
         number = next(numbers)
-        now = rules.now + 7_576  # 132 a second
+        now = rules.now + 7_576  # 132 jobs a second
         actions = rules.handle(now, api.JobArrived(number, job_class, 5_000_000))
         push = next(action for action in actions if isinstance(action, api.Push))
         rules.handle(now + 10, api.AttemptStarted(number, 0, push.worker))
@@ -59,7 +60,7 @@
 
 
 def measure(size: int) -> dict[str, float]:
-    """The costs at a list of so many instances."""
+    """Return the costs for a list of `size` instances."""
     listed = sample.entries(size)
     return {**_times(listed), "memory": traced_memory(lambda: _dispatcher(listed))[0]}
 
