--- a/benchmarks/capacity/members.py
+++ b/benchmarks/capacity/members.py
@@ -1,7 +1,7 @@
-"""The fleet agent's decisions by the number of members: memory, records read, a step, a permit, a release.
+"""Cost of the fleet agent's decisions by number of members: memory, parsing, a step, a permit, a release.
 
-All of it is pure code of `pulleyroute.fleet`: what an agent goes through when it hears of one change. A
-permit's size is of the transaction as it leaves: one comparison for each member that serves.
+All of this is pure code of `pulleyroute.fleet`, which an agent runs for each change that it receives. The
+size of a permit is that of the transaction on the wire: one comparison for each serving member.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 ZONES = 9
 BOUNDS = Bounds(fleet=CountOrShare(share=0.1), zone=CountOrShare(share=0.5), least_serving=1)
-ETCD_OPERATIONS = 128  # of a transaction, unless its operator allows more
+ETCD_OPERATIONS = 128  # per transaction, unless etcd is configured for more
 KEYS = Keys("fleet")
 
 
 def member_name(number: int) -> str:
-    """As long as names of machines are."""
+    """Return a name as long as typical machine names."""
     return f"dispatcher-{number:05d}"
 
 
 def member_records(number: int) -> list[tuple[bytes, bytes]]:
-    """The seat and the word of one member, as keys and values."""
+    """Return the registration and the heartbeat of one member, as pairs of key and value."""
     name, mark = member_name(number), f"{number:016x}-1"
     zone, region = f"zone-{number % ZONES}", f"region-{number % 3}"
     registration = records.encode(mark=mark, incarnation=1, token=f"{number:016x}", zone=zone, region=region)
@@ -55,7 +55,7 @@
 
 
 def _permit_comparisons(items: dict[bytes, Item], snapshot: Snapshot) -> list[object]:
-    """The comparisons of a permit's transaction."""
+    """Return the comparisons of a permit's transaction."""
     counted = [items[KEYS.of("word", name)] for name in drains.serving_members(snapshot)]
     first = [KEYS.of("permit", member_name(0)), KEYS.of("seat", member_name(0)), KEYS.generation]
     own = [items.get(key, Item(key)) for key in (*first, KEYS.of("wish", member_name(0)))]
@@ -63,11 +63,11 @@
 
 
 def measure(size: int) -> dict[str, float]:
-    """The costs in a fleet of so many members."""
+    """Return the costs in a fleet of `size` members."""
     items = _stored_items(size)
     snapshot = _parse(items)
     if _step(snapshot).action is not Action.ASK:
-        raise ValueError("the sample's member does not ask for its permit")
+        raise ValueError("the sample member does not request its permit")
     compares = _permit_comparisons(items, snapshot)
     plan = release.Plan("r", "1.2.4", (CountOrShare(share=0.01), CountOrShare(share=0.1)))
     started_release = release.new_release(plan, replace(snapshot, member_requests={}))
