--- a/benchmarks/capacity/store.py
+++ b/benchmarks/capacity/store.py
@@ -1,7 +1,7 @@
-"""The common store's client by the number of members: a read of the whole, and a permit's transaction.
+"""Cost of the shared store's client by number of members: a read of the group, and a permit's transaction.
 
-The store's stand-in is a process of its own on loopback; each call has a connection of its own, as in
-service. Times are processor time of the client's process, and of the stand-in's.
+The store's stand-in runs in a separate process and is called over loopback, with a new connection for each
+call, as in production. Times are the processor time of the client's process and of the stand-in.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from pulleyroute.net.http import parse_address
 from pulleyroute.net.loop import Coroutine, Loop
 
-CALLS = 20  # of each kind that a reading rests on
-PUTS_PER_TRANSACTION = 50  # records of a transaction that fills the store
+CALLS = 20  # of each kind, over which a measurement is averaged
+PUTS_PER_TRANSACTION = 50  # while the store is filled
 LISTEN_ADDRESS = "127.0.0.1:0"
 
 
 @contextmanager
 def _stand_in() -> Iterator[tuple[int, tuple[str, int]]]:
-    """The store's stand-in: its process id and its address."""
+    """Run the store's stand-in; yields its process id and its address."""
     command = [sys.executable, "-m", "pulleyroute.cli", "emulate", "store", LISTEN_ADDRESS]
     process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
     try:
@@ -54,7 +54,7 @@
 
 
 def _permit(client: Client, items: list[Item], number: int, until: int) -> Coroutine[None]:
-    """A permit as `agent.py` asks for it: the word of each member as it was read."""
+    """Request a permit as `agent.py` does, on condition that every heartbeat is still as read."""
     heartbeats = [compare_unchanged(item) for item in items if item.key.startswith(KEYS.of("word", ""))]
     key = Item(KEYS.of("permit", member_name(number)))
     other = yield from client.commit(key, b'{"incarnation":1}', until, compares=heartbeats)
@@ -63,7 +63,7 @@
 
 
 class _Meter:
-    """Processor time of both processes over a stretch, in microseconds a call."""
+    """Measures the processor time of both processes between `start` and `read`, in microseconds per call."""
 
     def __init__(self, store: int) -> None:
         self._store = store
@@ -95,7 +95,7 @@
 
 
 def _call_bytes(address: tuple[str, int], path: str, body: Json) -> int:
-    """Of a call and its answer, heads and all, as `Client` writes it."""
+    """Return the size of a call as `Client` writes it and of its answer, including the HTTP heads."""
     data = json.dumps(body).encode()
     head = (
         f"POST {path} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\nContent-Type: application/json\r\n"
@@ -112,7 +112,7 @@
 
 
 def measure(size: int) -> dict[str, float]:
-    """The costs in a fleet of so many members."""
+    """Return the costs in a fleet of `size` members."""
     failed: list[Exception] = []
 
     def fail(name: str, exc: Exception) -> None:
