--- a/benchmarks/capacity/sample.py
+++ b/benchmarks/capacity/sample.py
@@ -1,4 +1,4 @@
-"""Samples of the size that is asked for: settings, lists in discovery's form, entries, jobs."""
+"""Sample data of a given size: settings, lists in the form of discovery, and entries."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 ZONES = 9
 DISPATCHERS = 5_700
-EPOCH = 1_700_000_000_000_000  # us, Unix time of the loop's 0
+EPOCH = 1_700_000_000_000_000  # us; Unix time at which the loop's clock is 0
 CLASSES = [
     {"name": "look", "effect": "read_like", "aim": 250_000, "give-up": 5_000_000, "gain": 2.0},
     {"name": "charge", "effect": "non_idempotent", "aim": 1_500_000, "give-up": 25_000_000, "gain": 3.0},
@@ -18,7 +18,7 @@
 
 
 def settings_object(classes: int = len(CLASSES)) -> dict[str, Any]:
-    """The `settings` of a configuration, with so many classes."""
+    """Return the `settings` object of a configuration with so many classes."""
     return {
         "balancers": DISPATCHERS,
         "me": 17,
@@ -52,17 +52,17 @@
 
 
 def settings() -> Settings:
-    """The same, read."""
+    """Return the parsed settings with the default number of classes."""
     return read_settings(settings_object())[0]
 
 
 def instance_name(number: int) -> str:
-    """As long as names of pods are."""
+    """Return a name as long as typical names of pods."""
     return f"app-{number % 1000:03d}-{number:08x}"
 
 
 def discovery_entry(number: int, phase: str = "active") -> dict[str, Any]:
-    """One instance in discovery's form."""
+    """Return one instance in the form of discovery."""
     return {
         "id": instance_name(number),
         "host_port": f"127.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:9000",
@@ -76,17 +76,17 @@
 
 
 def watch_line(revision: int, members: list[dict[str, Any]], complete: bool = False) -> bytes:
-    """What a watch says, as one line."""
+    """Return an update as one line of a watch."""
     return json.dumps({"revision": revision, "complete": complete, "members": members}).encode()
 
 
 def full_list_line(size: int) -> bytes:
-    """A whole list of so many."""
+    """Return the line of a full list of `size` instances."""
     return watch_line(1, [discovery_entry(number) for number in range(size)], complete=True)
 
 
 def entries(size: int) -> list[Entry]:
-    """The same as the decisions get it."""
+    """Return the same list in the form that the decisions receive."""
     return [
         Entry(instance_name(number).encode(), WorkerState.READY, zone=number % ZONES)
         for number in range(size)
