--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What each part costs by size: measured slopes, their fits and charts; see `docs/CAPACITY.md`."""
+"""Costs of each part by size: measurements, fits and charts; see `docs/CAPACITY.md`."""
