--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""Measures what each part costs by size, and works out the target: `python -m benchmarks.capacity --help`."""
+"""Measure the cost of each part by size, and compute the target: `python -m benchmarks.capacity --help`."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from benchmarks.capacity.slope import Run, SlopeError
 from benchmarks.capacity.slopes import MODULES, slope
 
-QUICK_FOLDER = Path("build/capacity")  # quick runs leave the page's figures as they are
-LARGEST = 2_000_000  # of a size asked for
+QUICK_FOLDER = Path("build/capacity")  # quick runs do not overwrite the figures of the page
+MAX_SIZE = 2_000_000  # for --size
 ALL, REPORTS = "all", ("fits", "charts", "target", "subsets")
 
 
@@ -20,8 +20,8 @@
         size = int(text)
     except ValueError:
         raise argparse.ArgumentTypeError(f"{text!r} is not a whole number") from None
-    if not 1 <= size <= LARGEST:
-        raise argparse.ArgumentTypeError(f"{size} is not between 1 and {LARGEST}")
+    if not 1 <= size <= MAX_SIZE:
+        raise argparse.ArgumentTypeError(f"{size} is not between 1 and {MAX_SIZE}")
     return size
 
 
@@ -63,20 +63,20 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Exit status: 0, 1 where a point or a report failed, 2 for arguments that can't be used."""
+    """Run the command; returns 1 if a point or a report failed, and exits with 2 for invalid arguments."""
     parser = _parser()
-    asked = parser.parse_args(arguments)
-    if asked.size and asked.name not in MODULES:
+    options = parser.parse_args(arguments)
+    if options.size and options.name not in MODULES:
         parser.error("--size goes with one slope")
-    folder = asked.out or (QUICK_FOLDER if asked.quick else FOLDER)
-    run = Run(asked.quick, tuple(asked.size or ()), 0, lambda line: print(line, flush=True))
+    folder = options.out or (QUICK_FOLDER if options.quick else FOLDER)
+    run = Run(options.quick, tuple(options.size or ()), 0, lambda line: print(line, flush=True))
     try:
-        for name in MODULES if asked.name == ALL else [asked.name]:
+        for name in MODULES if options.name == ALL else [options.name]:
             if name in MODULES:
                 _measure(name, run, folder)
-        for name in REPORTS if asked.name == ALL else [asked.name]:
+        for name in REPORTS if options.name == ALL else [options.name]:
             if name in REPORTS:
-                _report(name, folder, asked.quick)
+                _report(name, folder, options.quick)
     except (SlopeError, SeriesError, OSError) as exc:
         print(f"capacity: {exc}", file=sys.stderr)
         return 1
