--- a/benchmarks/capacity/charts.py
+++ b/benchmarks/capacity/charts.py
@@ -1,4 +1,4 @@
-"""Charts of size against cost with the fit and the limit, as SVG, from the JSON files of a folder."""
+"""SVG charts of cost by size with the fit and the limit, from the JSON files of a folder."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from benchmarks.capacity.series import Series
 from benchmarks.capacity.tables import all_series
 
-# The same bytes for the same figures, so that a chart changes in a commit only where a figure does.
+# A fixed salt keeps the SVG identical for identical figures, so that commits contain only real changes.
 STYLE: dict[Any, Any] = {"svg.hashsalt": "capacity", "svg.fonttype": "none", "font.size": 9}
-# Sizes at the target that a line is drawn to; see `target.py`.
+# Sizes at the target, to which the fitted line is extended; see `target.py`.
 TARGETS = {"list entries": 1_700_000, "members": 5_700}
 
 
 def draw(folder: Path, quick: bool = False) -> None:
-    """One chart a series that has a fit and more than one value; `quick`: of those that have a limit."""
+    """Draw each series that has a fit and more than one value; `quick`: only those with a limit."""
     with mpl.rc_context(STYLE):
         for series in all_series(folder):
             values = {point.value for point in series.points}
@@ -63,7 +63,7 @@
     sizes = [series.sizes[0] * ratio**step for step in range(61)]
     axes.plot(
         sizes,
-        [max(found.law.predict(size), _least(series)) for size in sizes],
+        [max(found.law.predict(size), _lower_bound(series)) for size in sizes],
         "-",
         label=_formula(found.law),
     )
@@ -78,6 +78,6 @@
     return f"{law.factor:.3g} x size ^ {law.exponent:.2f}"
 
 
-def _least(series: Series) -> float:
-    """Guards the logarithmic axis against a line whose base is below 0."""
+def _lower_bound(series: Series) -> float:
+    """Return a positive bound for a line whose base is below 0, as a logarithmic axis needs one."""
     return statistics.median(series.values(series.sizes[0])) / 10
