--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -1,9 +1,9 @@
-"""Laws through measured series, and how far they can be trusted.
+"""Fit laws to measured series, and estimate their error.
 
 A cost is modelled as a line, `base + slope * size`, and as a power law, `factor * size ** exponent`. Points
-of the line weigh by the inverse of their value, since the spread of a cost grows with it: residuals are
-relative ones. Whichever law leaves the smaller residual predicts. Its error, where the smaller half of the
-sizes predicts the larger, is the only check there is of an extrapolation.
+of the line are weighted by the inverse of their value, since the spread of a cost grows with it; residuals
+are therefore relative. The law with the smaller residual is used for predictions. Its error when the smaller
+half of the sizes predicts the larger half is the only check of an extrapolation.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 from benchmarks.capacity.series import Point, Series
 
-MIN_SIZES = 3  # for a line with a residual
+MIN_SIZES = 3  # the least for which a line leaves a residual
 
 
 class FitError(ValueError):
-    """There are too few sizes, or values that no line can be laid through; the text says which."""
+    """The series has too few sizes, or values that cannot be fitted; the text says which."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,20 +32,20 @@
     residual: float
 
     def predict(self, size: float) -> float:
-        """The cost at a size."""
+        """Return the cost at a size."""
         return self.base + self.slope * size
 
 
 @dataclass(slots=True, frozen=True)
 class Power:
-    """`factor * size ** exponent`, of least squares of the logarithms; `residual` as of a line."""
+    """`factor * size ** exponent`, by least squares of the logarithms; `residual` as in `Line`."""
 
     factor: float
     exponent: float
     residual: float
 
     def predict(self, size: float) -> float:
-        """The cost at a size."""
+        """Return the cost at a size."""
         return float(self.factor * size**self.exponent)
 
 
@@ -54,12 +54,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Fit:
-    """What a series says.
+    """The fit of a series.
 
     `law`: the line or the power law, whichever has the smaller residual; `spread`: the largest
-    (most - least) / median of the repetitions at one size; `prediction_error`: the largest |predicted -
-    median| / median over the larger half of the sizes, by the law of the smaller half; None below five
-    sizes.
+    (maximum - minimum) / median of the repetitions at one size; `prediction_error`: the largest |predicted -
+    median| / median over the larger half of the sizes, with the law fitted to the smaller half; None for
+    fewer than five sizes.
     """
 
     line: Line
@@ -70,7 +70,7 @@
 
 
 def fit(series: Series) -> Fit:
-    """The fit of a series; raises FitError."""
+    """Fit a series; raises FitError."""
     return Fit(
         line(series.points),
         power(series.points),
@@ -81,14 +81,14 @@
 
 
 def line(points: Iterable[Point]) -> Line:
-    """The line of least squared relative residuals; raises FitError."""
+    """Return the line with the least squared relative residuals; raises FitError."""
     sizes, values = _arrays(points)
     slope, base = np.polyfit(sizes, values, 1, w=1 / values)
     return Line(float(base), float(slope), _residual(values, base + slope * sizes))
 
 
 def power(points: Iterable[Point]) -> Power:
-    """The power law of least squared residuals of the logarithms; raises FitError."""
+    """Return the power law with the least squared residuals of the logarithms; raises FitError."""
     sizes, values = _arrays(points)
     exponent, logarithm = np.polyfit(np.log(sizes), np.log(values), 1)
     factor = float(np.exp(logarithm))
@@ -96,7 +96,7 @@
 
 
 def law(points: Iterable[Point]) -> Law:
-    """The line, or the power law where that leaves a smaller residual; raises FitError."""
+    """Return the line, or the power law if its residual is smaller; raises FitError."""
     kept = list(points)
     straight, curved = line(kept), power(kept)
     return straight if straight.residual <= curved.residual else curved
