--- a/benchmarks/capacity/listed.py
+++ b/benchmarks/capacity/listed.py
@@ -1,9 +1,9 @@
-"""The real program at rest by the length of its list: resident memory, and processor time without a request.
+"""Memory and processor time of the real program without requests, by the length of its list.
 
-The platform's dispatcher (`python -m pulleyroute`) watches a discovery that lists so many instances, all at
-the address of one stand-in. What is traced of the list's parts in a benchmark's process is so held against a
-process as it runs; 2,385 is the subset of the chosen design, and 6,500 about the most that a whole list
-had when this was measured (1 MiB; 4 MiB since).
+The platform's dispatcher (`python -m pulleyroute`) watches a discovery that lists `size` instances, all at
+the address of one stand-in. The result can be compared with the memory traced for the parts of the list in
+other benchmarks. The size 2,385 is the subset of the chosen design. The largest size stays below about 6,500
+instances, the most that a full list could have under the earlier line limit of 1 MiB; it is now 4 MiB.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from pulleyroute.emulator import Discovery
 from pulleyroute.lab.demo import free_port
 
-SETTLE_TIME_S, WINDOW_S = 1.0, 3.0  # seconds before the reading, and of it
-LARGEST = 6_000
+SETTLE_TIME_S, WINDOW_S = 1.0, 3.0  # before the measurement, and of it
+LARGEST = 6_000  # instances
 
 
 def measure(size: int) -> dict[str, float]:
-    """The costs at rest with so many instances listed."""
+    """Return the costs at rest with `size` instances in the list."""
     listen, discovery = f"127.0.0.1:{free_port()}", Discovery()
     with tempfile.TemporaryDirectory() as folder, stand_in("box", listen, SLOTS) as address:
         for number in range(size):
