--- a/benchmarks/capacity/listing.py
+++ b/benchmarks/capacity/listing.py
@@ -1,7 +1,7 @@
-"""The discovery client by the length of its list: memory, a list and a change taken, bytes on the wire.
+"""Cost of the discovery client by length of the list: memory, handling a full list or a change, bytes sent.
 
-Words are given to the client as its watch gives them, past the reader of lines: that one refuses a word of
-over 4 MiB (`LINE_LIMIT`), which is what a whole list of some 26,000 instances takes.
+Lines are passed directly to the client's handler of watch lines. The reader of lines is left out, because it
+rejects lines of over 4 MiB (`LINE_LIMIT`), the size of a full list of about 26,000 instances.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def _make_change(client: DiscoveryClient) -> Callable[[], None]:
-    """One instance leaves and comes back, again and again."""
+    """Return a call that makes one instance leave and return alternately."""
     texts = [sample.watch_line(2, [sample.discovery_entry(0, phase)]) for phase in ("leaving", "active")]
 
     def change() -> None:
@@ -41,15 +41,15 @@
 
 
 def measure(size: int) -> dict[str, float]:
-    """The costs at a list of so many instances."""
+    """Return the costs for a list of `size` instances."""
     loop = Loop(lambda name, exc: None)
     text = sample.full_list_line(size)
     times = _times(_client(loop, text), text)
-    held, most = traced_memory(lambda: _client(loop, text))
+    held, peak = traced_memory(lambda: _client(loop, text))
     return {
         **times,
         "memory": held,
-        "peak": most,
+        "peak": peak,
         "whole_bytes": float(len(text)),
         "change_bytes": float(len(sample.watch_line(2, [sample.discovery_entry(0)]))),
     }
