--- a/benchmarks/capacity/point.py
+++ b/benchmarks/capacity/point.py
@@ -1,4 +1,4 @@
-"""One point of a slope, in this process, as JSON: `python -m benchmarks.capacity.point NAME SIZE`."""
+"""Measure one point of a slope and print it as JSON: `python -m benchmarks.capacity.point NAME SIZE`."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 
 
 def main() -> None:
+    """Measure the point in this process."""
     name, size = sys.argv[1], int(sys.argv[2])
     logger.remove()
     print(json.dumps(dict(slope(name).measure(size))))
