--- a/benchmarks/capacity/probes.py
+++ b/benchmarks/capacity/probes.py
@@ -1,7 +1,7 @@
-"""Probes over loopback: what each costs the one that asks, over connections that are kept.
+"""Cost of probes for the prober, over loopback and persistent connections.
 
-The size is the number of probes. The instance asked is the job box's stand-in, in a process of its own; the
-one that asks is `Instances` with its real connections, one probe after another.
+The size is the number of probes. The probed instance is the stand-in of a job box in a separate process. The
+prober is `Instances` with its real connections; it sends one probe after another.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from pulleyroute.net.instance import Instances
 from pulleyroute.net.loop import Loop
 
-CALLBACK = "127.0.0.1:9"  # nobody sends jobs, and so nobody is called back
+CALLBACK = "127.0.0.1:9"  # never called, since no jobs are sent
 
 
 @contextmanager
 def stand_in(name: str, callback: str, slots: int = 4) -> Iterator[str]:
-    """A job box's stand-in as a process; its address."""
+    """Run a job box's stand-in as a process; yields its address."""
     command = [sys.executable, "-m", "pulleyroute.cli", "emulate", "runner", name, "--callback", callback]
     process = subprocess.Popen([*command, "--slots", str(slots)], stdout=subprocess.PIPE, text=True)
     try:
@@ -40,7 +40,7 @@
 
 
 class _Prober:
-    """Asks one instance again and again."""
+    """Probes one instance a number of times, and collects errors."""
 
     def __init__(self, address: str, times: int) -> None:
         settings = sample.settings()
@@ -68,7 +68,7 @@
         self._instances.probe(instance)
 
     def run(self) -> float:
-        """Processor time in microseconds."""
+        """Send all probes; return the processor time in microseconds."""
         began = time.process_time()
         self._instances.probe(self._name)
         self._loop.run()
@@ -76,16 +76,16 @@
 
 
 def _bytes(address: str) -> int:
-    """Of one probe and its answer, as they are on the wire; the heads of `Instances` and of the stand-in."""
+    """Return the size on the wire of one probe, with the head of `Instances`, and of its answer."""
     host, port = address.rsplit(":", 1)
-    asked = f"GET /-/load HTTP/1.1\r\nHost: {address}\r\n\r\n".encode()
+    probe = f"GET /-/load HTTP/1.1\r\nHost: {address}\r\n\r\n".encode()
     with socket.create_connection((host, int(port)), 5) as connection:
-        connection.sendall(asked)
-        return len(asked) + len(connection.recv(65_536))
+        connection.sendall(probe)
+        return len(probe) + len(connection.recv(65_536))
 
 
 def measure(size: int) -> dict[str, float]:
-    """The processor time of so many probes."""
+    """Return the processor time of `size` probes, and the bytes of one."""
     with stand_in("box", CALLBACK) as address:
         prober = _Prober(address, size)
         spent, one = prober.run(), _bytes(address)
