--- a/benchmarks/capacity/reloading.py
+++ b/benchmarks/capacity/reloading.py
@@ -1,7 +1,7 @@
-"""SIGHUP by the length of the configuration: the file read and checked, and its settings put in force.
+"""Cost of a SIGHUP by length of the configuration: reading, checking and applying the file.
 
-The size is the number of classes. `known` is the same for a file that carries so many instances of the list:
-it is read with the file each time.
+The size is the number of classes. For `known` the size is the number of instances that the file contains;
+they are read with the file each time.
 """
 
 from __future__ import annotations
@@ -35,26 +35,26 @@
 
 
 def _cost(path: Path, classes: int, known: int) -> float:
-    """Processor time of one reload, in microseconds."""
+    """Return the processor time of one reload in microseconds."""
     path.write_text(json.dumps(_object(classes, known)))
     os.environ["PROXY_CONFIG"] = str(path)
     parts: Parts = build(load_config(os.environ), Loop(lambda name, exc: None))
     before = parts.metrics.conf_loaded
     spent = microseconds(lambda: reload(parts))
     if parts.metrics.conf_invalid or parts.metrics.conf_loaded == before:
-        raise ValueError("the configuration was not taken")
+        raise ValueError("the configuration was not applied")
     return spent
 
 
 def measure(size: int) -> dict[str, float]:
-    """The costs of a reload with so many classes, and with so many known instances."""
+    """Return the costs of a reload with `size` classes, and with `size` known instances."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        bytes_of = len(json.dumps(_object(size, 0)))
+        config_bytes = len(json.dumps(_object(size, 0)))
         return {
             "classes": _cost(path, size, 0),
             "known": _cost(path, 2, size),
-            "bytes": float(bytes_of),
+            "bytes": float(config_bytes),
         }
 
 
