--- a/benchmarks/capacity/reports.py
+++ b/benchmarks/capacity/reports.py
@@ -1,7 +1,7 @@
-"""Load reports: what each one costs that is read from an answer's header and learnt by the decisions.
+"""Cost of a load report that is parsed from an answer's header and processed by the decisions.
 
-The size is the number of reports, from as many instances; the slope is the cost of one. As they come in
-service: the text of the header, `Instances.report`, and the decisions' event.
+The size is the number of reports, each from another instance; the slope is the cost of one. Reports take the
+same path as in production: the text of the header, `Instances.parse_report`, and the event of the decisions.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def measure(size: int) -> dict[str, float]:
-    """The processor time of so many reports."""
+    """Return the processor time of `size` reports."""
     settings, loop = sample.settings(), Loop(lambda name, exc: None)
     discovery = DiscoveryClient(loop, BufferPool(), ("127.0.0.1", 9), settings, sample.EPOCH)
     instances = Instances(loop, BufferPool(), discovery, settings, 100)
