--- a/benchmarks/capacity/request.py
+++ b/benchmarks/capacity/request.py
@@ -1,10 +1,10 @@
-"""The data path: processor time of the real program by the rate of requests, over loopback.
+"""Cost of the data path: processor time of the real program by rate of requests, over loopback.
 
-The platform's dispatcher (`python -m pulleyroute`), the stand-in of a job box and the clients are processes
-of their own. Requests come at an even rate on kept connections, each is sent to a box, which takes it (202)
-and calls back on a connection of its own; probes and the watch run as in service. The size is the rate, the
-value the dispatcher's processor time in microseconds a second: the line's slope is the cost of one request,
-its base what the dispatcher costs without any.
+The platform's dispatcher (`python -m pulleyroute`), the stand-in of a job box and the clients are separate
+processes. Requests arrive at an even rate on persistent connections. Each is sent to a box, which accepts it
+(202) and calls back on another connection. Probes and the watch run as in production. The size is the rate;
+the value is the dispatcher's processor time in microseconds per second. The slope of the fitted line is the
+cost of one request, and its base is the cost of the dispatcher without requests.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 from pulleyroute.lab.demo import free_port
 from pulleyroute.lab.load import SERVED, JobTarget, open_loop
 
-LOAD_DURATION_S = 5.0  # that a rate is kept up
-WARM_UP = 100  # requests before, which open the connections
-SLOTS = 64
-CLIENT_TIMEOUT_S = 5.0  # seconds that a client waits
-MIN_SERVED_SHARE = 0.99
-CORE_US_PER_S = 1e6  # microseconds of processor time a second: one core
+LOAD_DURATION_S = 5.0  # of each rate
+WARM_UP = 100  # requests before the measurement, which open the connections
+SLOTS = 64  # concurrent jobs of the box
+CLIENT_TIMEOUT_S = 5.0
+MIN_SERVED_SHARE = 0.99  # of the requests sent
+CORE_US_PER_S = 1e6  # processor time of one core
 
 
 def _config(listen: str, discovery: Discovery) -> dict[str, Any]:
@@ -55,7 +55,7 @@
 
 @contextmanager
 def dispatcher_process(folder: Path, listen: str, discovery: Discovery) -> Iterator[int]:
-    """The dispatcher, ready; its process id."""
+    """Run the dispatcher; yields its process id once it is ready."""
     path = folder / "config.json"
     path.write_text(json.dumps(_config(listen, discovery)))
     environ = {**os.environ, "PROXY_CONFIG": str(path), "PULLEYROUTE_LOG": "ERROR"}
@@ -102,7 +102,7 @@
 
 
 def measure(size: int) -> dict[str, float]:
-    """The costs at so many requests a second."""
+    """Return the costs at `size` requests a second."""
     listen, discovery = f"127.0.0.1:{free_port()}", Discovery()
     with tempfile.TemporaryDirectory() as folder, stand_in("box", listen, SLOTS) as address:
         discovery.put("box", address)
