--- a/benchmarks/capacity/ring.py
+++ b/benchmarks/capacity/ring.py
@@ -1,8 +1,8 @@
-"""Subsets of destinations by a ring of positions, beside subsets drawn at random: who keeps to what. Pure.
+"""Pure functions for subsets of destinations: by positions on a ring, and drawn at random.
 
-A zone has as many positions on a ring as it has dispatchers planned, and its destinations fall into as many
-parts. The dispatcher at position p keeps to parts p to p + `replicas` - 1; where a part has fewer than
-`least` of them, the dispatchers at the nearest positions before it take it too.
+A zone has as many positions on a ring as planned dispatchers, and its destinations are divided into as
+many parts. The dispatcher at position p owns parts p to p + `replicas` - 1. If a part has fewer than
+`min_replicas` owners present, the dispatchers at the nearest positions before these own it too.
 """
 
 from __future__ import annotations
@@ -16,14 +16,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Ring:
-    """`positions`: of a zone; `replicas`: dispatchers a part; `least`: fewer, and others take it too."""
+    """The ring of a zone.
+
+    `positions`: number of positions and of parts; `replicas`: planned owners of a part; `min_replicas`: a
+    part with fewer owners present gets further ones.
+    """
 
     positions: int
     replicas: int
     min_replicas: int
 
     def owners(self, present: Set[int]) -> list[list[int]]:
-        """For each part the positions that keep to it; `present` are those that somebody holds."""
+        """Return the positions that own each part; `present` are the positions with a running dispatcher."""
         return [self._owners_of(part, present) for part in range(self.positions)]
 
     def _owners_of(self, part: int, present: Set[int]) -> list[int]:
@@ -38,7 +42,7 @@
 
 
 def parts_by_position(owners: list[list[int]]) -> dict[int, set[int]]:
-    """The same the other way round: for each position its parts."""
+    """Invert the owners: return the parts of each position."""
     parts: dict[int, set[int]] = {}
     for part, positions in enumerate(owners):
         for position in positions:
@@ -47,7 +51,7 @@
 
 
 def random_owner_counts(destinations: int, dispatchers: int, size: int, seed: int) -> np.ndarray:
-    """How many dispatchers each destination has where each draws its subset by itself."""
+    """Return the number of dispatchers of each destination if each draws its subset independently."""
     generator = np.random.default_rng(seed)
     counts = np.zeros(destinations, int)
     for _ in range(dispatchers):
@@ -56,12 +60,12 @@
 
 
 def part_loads(owners: list[list[int]], rates: dict[int, float]) -> list[float]:
-    """What each part gets where every dispatcher spreads its rate evenly over its parts."""
+    """Return the load of each part if every dispatcher spreads its rate evenly over its parts."""
     parts = parts_by_position(owners)
     return [sum(rates[position] / len(parts[position]) for position in positions) for positions in owners]
 
 
 def lognormal_rates(positions: Set[int], seed: int, sigma: float) -> dict[int, float]:
-    """Rates of dispatchers of a log-normal law with a median of 1."""
+    """Draw the rates of dispatchers from a log-normal distribution with a median of 1."""
     random = Random(seed)
     return {position: random.lognormvariate(0.0, sigma) for position in sorted(positions)}
