--- a/benchmarks/capacity/series.py
+++ b/benchmarks/capacity/series.py
@@ -1,7 +1,7 @@
-"""The common form of a measurement: series of (size, value) points, kept as JSON.
+"""The common format of measurements: series of (size, value) points, stored as JSON.
 
-A file holds `{"series": [...]}`; each series is one cost against one kind of size, every repetition a point
-of its own. The form says what was run and on what, so that a table needs nothing beside it.
+A file contains `{"series": [...]}`. Each series is one cost by one kind of size, with a point for every
+repetition. It also names its command and machine, so that a table can be made from the file alone.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class SeriesError(ValueError):
-    """A file does not hold series; the text is one plain line that names it."""
+    """A file, or a folder, has no usable series; the text is one line that names what is missing."""
 
 
 @dataclass(slots=True, frozen=True)
 class Point:
-    """One repetition. `size`: the count that was varied; `value`: the cost, in its series' unit."""
+    """One repetition. `size`: the count that is varied; `value`: the cost in the unit of the series."""
 
     size: int
     value: float
@@ -29,13 +29,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Series:
-    """One cost against one size.
+    """One cost by size.
 
-    `name`: unlike any other's, in the form `module.cost`; `unit`: of the values ("us", "bytes", "calls/s");
-    `size_unit`: what `size` counts ("list entries", "members"); `command`: that made it, typed at the root;
-    `limit`: the bound that the cost is held to, in `unit`, None for none; `machine`: what it ran on, with
-    "machine shared" where other programs ran beside it; `note`: what a reader has to know, such as the first
-    thing that broke.
+    `name`: unique, in the form `module.cost`; `unit`: of the values ("us", "bytes", "calls/s");
+    `size_unit`: what `size` counts ("list entries", "members"); `command`: reproduces the series when run
+    in the root of the repository; `limit`: the upper bound of the cost, in `unit`, or None; `machine`: where
+    it ran, with "machine shared" if other programs ran at the same time; `note`: what a reader has to know,
+    such as the first failure.
     """
 
     name: str
@@ -50,23 +50,23 @@
 
     @property
     def sizes(self) -> list[int]:
-        """The sizes measured, ascending, each once."""
+        """The distinct sizes, in ascending order."""
         return sorted({point.size for point in self.points})
 
     def values(self, size: int) -> list[float]:
-        """The repetitions at one size."""
+        """Return the values of all repetitions at one size."""
         return [point.value for point in self.points if point.size == size]
 
 
 def write(path: Path, series: Iterable[Series]) -> None:
-    """Write a file of series; its folder is made where it is missing."""
+    """Write a file of series; create its folder if it is missing."""
     path.parent.mkdir(parents=True, exist_ok=True)
     text = json.dumps({"series": [asdict(each) for each in series]}, indent=1)
     path.write_text(text + "\n")
 
 
 def read(path: Path) -> list[Series]:
-    """The series of a file; raises SeriesError where it can't be read or is not in form."""
+    """Read the series of a file; raises SeriesError if the file cannot be read or is malformed."""
     try:
         data = json.loads(path.read_text())
         return [_series(each) for each in data["series"]]
