--- a/benchmarks/capacity/slope.py
+++ b/benchmarks/capacity/slope.py
@@ -1,4 +1,4 @@
-"""What a slope is, and its points: each repetition runs in a fresh process, one at a time."""
+"""Slopes, which measure costs by size: each repetition runs in a new process, one at a time."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from benchmarks.capacity.series import Point, Series
 
 ROOT = Path(__file__).parent.parent.parent
-POINT_TIMEOUT_S = 170  # seconds that one process may take
+POINT_TIMEOUT_S = 170  # of one process
 REPEATS, QUICK_REPEATS = 3, 1
-MAX_ATTEMPTS = 3  # of a point: a full machine may keep a process from what its slope asks of it
+MAX_ATTEMPTS = 3  # per point: a process may fail to keep up with its slope on a busy machine
 
 Measured = Mapping[str, float]
 
 
 class SlopeError(Exception):
-    """A point could not be measured; the text is one plain line."""
+    """A point could not be measured; the text is one line."""
 
 
 @dataclass(slots=True, frozen=True)
 class Cost:
-    """One of the costs that a slope measures. `limit`: the bound it is held to, in `unit`."""
+    """One of the costs that a slope measures. `limit`: its upper bound, in `unit`."""
 
     title: str
     unit: str
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Slope:
-    """`measure` returns the value of each cost at a size, and is called once in a process."""
+    """A measurement by size. `measure` returns each cost at a size, and is called once per process."""
 
     name: str
     size_unit: str
@@ -43,13 +43,13 @@
     quick_sizes: tuple[int, ...]
     costs: Mapping[str, Cost]
     measure: Callable[[int], Measured]
-    largest: int = 100_000  # that may be asked for
+    largest: int = 100_000  # the maximum for --size
     note: str = ""
 
 
 @dataclass(slots=True)
 class Run:
-    """How slopes are run. `sizes`: in place of a slope's own; `tell` hears each point once it is there."""
+    """Options of a run. `sizes` replace those of a slope; `on_progress` gets a line for each point."""
 
     quick: bool = False
     sizes: tuple[int, ...] = ()
@@ -87,7 +87,7 @@
         ]
 
     def _point(self, name: str, size: int) -> dict[str, float]:
-        """A point, once more where it could not be measured; each failure is told. Raises SlopeError."""
+        """Measure a point, with retries that are passed to `on_progress`; raises SlopeError."""
         for _ in range(MAX_ATTEMPTS - 1):
             try:
                 return measure_in_process(name, size)
@@ -97,7 +97,7 @@
 
 
 def measure_in_process(name: str, size: int) -> dict[str, float]:
-    """One point of a slope in a process of its own; raises SlopeError."""
+    """Measure one point of a slope in a separate process; raises SlopeError."""
     command = [sys.executable, "-m", "benchmarks.capacity.point", name, str(size)]
     try:
         done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=POINT_TIMEOUT_S)
@@ -111,7 +111,7 @@
 
 
 def machine() -> str:
-    """What a series was measured on, in a few words without names."""
+    """Describe the machine of a measurement, without its name."""
     lines = Path("/proc/cpuinfo").read_text().splitlines()
     model = next(
         (line.split(":", 1)[1].strip() for line in lines if line.startswith("model name")), "unknown"
