--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""The slopes by name. Each lies in a module of its own, which is loaded when it is asked for."""
+"""The slopes by name. Each has its own module, which is imported on demand."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from benchmarks.capacity.slope import Slope
 
-# In the order in which they are run.
+# Modules by slope, in the order in which they run.
 MODULES = {
     "list": "listing",
     "decisions": "decisions",
@@ -21,6 +21,6 @@
 
 
 def slope(name: str) -> Slope:
-    """A slope by its name; raises KeyError."""
+    """Return the slope with this name; raises KeyError."""
     found: Slope = import_module(f"benchmarks.capacity.{MODULES[name]}").SLOPE
     return found
