--- a/benchmarks/capacity/subsets.py
+++ b/benchmarks/capacity/subsets.py
@@ -1,4 +1,4 @@
-"""The table of subsets: a zone's ring in several states, beside subsets drawn at random."""
+"""The table of subsets: the ring of a zone in several states, compared with random subsets."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 TABLE = "subsets.md"
 MIN_REPLICAS = 5
 SEEDS, QUICK_SEEDS = 200, 10
-SIGMA = 0.5  # of the dispatchers' rates: one in twenty takes more than twice the median
+SIGMA = 0.5  # of the log-normal rates: one dispatcher in twenty exceeds twice the median
 RING = Ring(ZONE_DISPATCHERS, REPLICAS, MIN_REPLICAS)
-PART = ZONE_DESTINATIONS / ZONE_DISPATCHERS  # destinations
+PART_DESTINATIONS = ZONE_DESTINATIONS / ZONE_DISPATCHERS
 
 COLUMNS = (
     "state",
@@ -30,9 +30,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """Over all seeds of a state: the least and most dispatchers of a destination, the largest subset in
-    destinations, the most subsets that changed though their dispatcher stayed, and the fullest destination's
-    load over the mean."""
+    """The figures of a state over all seeds.
+
+    `least`, `most`: the fewest and the most dispatchers of a destination; `largest`: the largest subset in
+    destinations; `changed`: the most subsets that changed although their dispatcher is present; `fullest`:
+    the load of the most loaded destination, relative to the mean.
+    """
 
     state: str
     least: int
@@ -43,12 +46,12 @@
 
 
 def _without(count: int) -> State:
-    """So many positions that nobody holds, at random."""
+    """Return a state in which `count` random positions are vacant."""
     return lambda random: set(range(ZONE_DISPATCHERS)) - set(random.sample(range(ZONE_DISPATCHERS), count))
 
 
 def _rack(random: Random) -> set[int]:
-    """A rack lost: neighbours on the ring lie in different racks."""
+    """Return the positions left when a rack is lost; neighbours on the ring are in different racks."""
     lost = random.randrange(RACKS)
     return {position for position in range(ZONE_DISPATCHERS) if position % RACKS != lost}
 
@@ -68,7 +71,7 @@
 
 
 def row(name: str, seeds: int) -> Row:
-    """A state of the ring over so many seeds."""
+    """Compute the row of a state over `seeds` seeds."""
     whole = parts_by_position(RING.owners(set(range(ZONE_DISPATCHERS))))
     counts: list[int] = []
     largest = changed = 0
@@ -82,11 +85,11 @@
         changed = max(changed, sum(1 for position in present if parts[position] != whole[position]))
         shares = part_loads(owners, lognormal_rates(present, seed, SIGMA))
         fullest = max(fullest, max(shares) / (sum(shares) / len(shares)))
-    return Row(name, min(counts), max(counts), largest * PART, changed, fullest)
+    return Row(name, min(counts), max(counts), largest * PART_DESTINATIONS, changed, fullest)
 
 
 def report(folder: Path, seeds: int = SEEDS) -> None:
-    """Write and print the table."""
+    """Write the table to the folder, and print it."""
     random_counts = random_owner_counts(ZONE_DESTINATIONS, ZONE_DISPATCHERS, SUBSET, 1)
     few, none = int((random_counts < MIN_REPLICAS).sum()), int((random_counts == 0).sum())
     lines = [
