--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -1,4 +1,4 @@
-"""The table of fits, from the JSON files of a folder."""
+"""The table of fits of the series in a folder's JSON files."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def all_series(folder: Path) -> list[Series]:
-    """The series of all files of a folder; raises SeriesError where there is none."""
+    """Read the series of all files of a folder; raises SeriesError if there are none."""
     found = [series for path in sorted(folder.glob("*.json")) for series in read(path)]
     if not found:
         raise SeriesError(f"{folder}: no series; measure some first")
@@ -33,7 +33,7 @@
 
 
 def fits(folder: Path) -> None:
-    """Write and print the table."""
+    """Write the table to the folder, and print it."""
     lines = ["| " + " | ".join(COLUMNS) + " |", "|" + " --- |" * len(COLUMNS)]
     lines += [_row(series) for series in all_series(folder)]
     print("\n".join(lines))
