--- a/tests/capacity/test_command.py
+++ b/tests/capacity/test_command.py
@@ -1,4 +1,4 @@
-"""The command's arguments, and one small point of each slope that needs no other process."""
+"""The arguments of the command, and one small point of each slope that runs in a single process."""
 
 import subprocess
 import sys
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    "arguments, said",
+    "arguments, message",
     [
         ([], "required: name"),
         (["lists"], "invalid choice: 'lists'"),
@@ -26,16 +26,16 @@
     ],
 )
 def test_bad_arguments_end_with_a_plain_line(
-    arguments: list[str], said: str, capsys: pytest.CaptureFixture[str]
+    arguments: list[str], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with pytest.raises(SystemExit) as ended:
         command.main(arguments)
     assert ended.value.code == 2
-    assert said in capsys.readouterr().err
+    assert message in capsys.readouterr().err
 
 
 @pytest.mark.parametrize("report", ["fits", "charts", "target"])
-def test_a_report_without_series_says_so(
+def test_a_report_without_series_fails_with_an_error(
     report: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert command.main([report, "--out", str(tmp_path)]) == 1
@@ -66,23 +66,23 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     found = Slope("list", "list entries", (100,), (100,), {"whole": Cost("Whole", "us")}, lambda size: {})
-    asked: list[list[str]] = []
-    told: list[str] = []
+    commands: list[list[str]] = []
+    progress: list[str] = []
 
-    def play(arguments: list[str], **options: object) -> subprocess.CompletedProcess[str]:
-        asked.append(arguments)
-        if len(asked) == 2 or len(asked) > 3:
+    def run_point(arguments: list[str], **options: object) -> subprocess.CompletedProcess[str]:
+        commands.append(arguments)
+        if len(commands) == 2 or len(commands) > 3:
             return subprocess.CompletedProcess(arguments, 1, "", "Traceback\nValueError: no answer\n")
         return subprocess.CompletedProcess(arguments, 0, '{"whole": 3.0}', "")
 
-    monkeypatch.setattr(subprocess, "run", play)
-    (series,) = Run(repeats=2, on_progress=told.append).series(found)
+    monkeypatch.setattr(subprocess, "run", run_point)
+    (series,) = Run(repeats=2, on_progress=progress.append).series(found)
     assert series.points == (Point(100, 3.0), Point(100, 3.0))
-    assert asked[0] == [sys.executable, "-m", "benchmarks.capacity.point", "list", "100"]
-    assert "list at 100: ValueError: no answer; measured again" in told
+    assert commands[0] == [sys.executable, "-m", "benchmarks.capacity.point", "list", "100"]
+    assert "list at 100: ValueError: no answer; measured again" in progress
     with pytest.raises(SlopeError, match="list at 100: ValueError: no answer"):
         Run(repeats=1).series(found)
-    assert len(asked) == 3 + MAX_ATTEMPTS
+    assert len(commands) == 3 + MAX_ATTEMPTS
 
 
 def test_charts_and_fits_are_made_of_what_a_folder_holds(tmp_path: Path) -> None:
