--- a/tests/capacity/test_fit.py
+++ b/tests/capacity/test_fit.py
@@ -1,4 +1,4 @@
-"""Fits of series whose answer is known."""
+"""Fits of series with a known law."""
 
 import pytest
 
@@ -29,14 +29,14 @@
     assert found.spread == pytest.approx(0.2)
 
 
-def test_a_square_is_told_from_a_line() -> None:
+def test_a_square_law_is_distinguished_from_a_line() -> None:
     found = fit(series(lambda size: [0.01 * size**2]))
     assert isinstance(found.law, Power) and found.power.exponent == pytest.approx(2.0)
     assert found.law.predict(2000) == pytest.approx(40_000.0)
     assert found.prediction_error == pytest.approx(0.0, abs=1e-9)
 
 
-def test_a_bend_that_the_smaller_sizes_do_not_show_is_an_error_of_prediction() -> None:
+def test_a_bend_beyond_the_smaller_sizes_is_a_prediction_error() -> None:
     found = fit(series(lambda size: [size if size <= 100 else 3 * size]))
     assert found.prediction_error == pytest.approx(2 / 3, abs=0.01)
 
@@ -46,6 +46,6 @@
 
 
 @pytest.mark.parametrize("sizes, cost", [((1, 2), 1.0), ((1, 2, 3), 0.0), ((0, 1, 2), 1.0)])
-def test_what_no_line_fits_is_refused(sizes: tuple[int, ...], cost: float) -> None:
+def test_values_that_cannot_be_fitted_are_rejected(sizes: tuple[int, ...], cost: float) -> None:
     with pytest.raises(FitError):
         fit(series(lambda size: [cost], sizes))
