--- a/tests/capacity/test_hollow.py
+++ b/tests/capacity/test_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow members at small sizes: they register, hear of a zone lost and back, and are counted. No timing."""
+"""Hollow members in small fleets: registration, a zone lost and restored, and counts. No timing."""
 
 import json
 
@@ -19,7 +19,7 @@
 from benchmarks.capacity.hollow_series import INSTANCES, series
 from benchmarks.capacity.series import Point, read
 
-PATIENT = Times(timeout=60.0, settle=0.0, window=1.0)
+LONG_TIMEOUT = Times(timeout=60.0, settle=0.0, window=1.0)
 STAGES = ["start", "rest", "zone lost", "zone back"]
 
 
@@ -28,34 +28,35 @@
 
 
 @pytest.fixture(scope="module")
-def five():
-    return run_fleet(Size(members=5, recorded=0, instances=10), PATIENT)
-
-
-def test_all_members_register_and_hear_a_zone_lost_and_back(five):
-    assert five.ended_by == "" and five.not_run == []
-    assert [each.name for each in five.stages] == STAGES
-    assert [each.members for each in five.stages] == [5, 5, 4, 5]
-    assert [each.least_serving for each in five.stages] == [5, 5, 4, 5]
-    assert [each.most_serving for each in five.stages] == [5, 5, 4, 5]
-    assert [each.without_record for each in five.stages] == [0, 0, 0, 0]
-    for each in five.stages:
+def five_members():
+    return run_fleet(Size(members=5, recorded=0, instances=10), LONG_TIMEOUT)
+
+
+def test_all_members_register_and_learn_of_a_zone_lost_and_restored(five_members):
+    assert five_members.ended_by == "" and five_members.not_run == []
+    assert [each.name for each in five_members.stages] == STAGES
+    assert [each.members for each in five_members.stages] == [5, 5, 4, 5]
+    assert [each.least_serving for each in five_members.stages] == [5, 5, 4, 5]
+    assert [each.most_serving for each in five_members.stages] == [5, 5, 4, 5]
+    assert [each.without_record for each in five_members.stages] == [0, 0, 0, 0]
+    for each in five_members.stages:
         assert all(times.count == times.expected == each.members for times in each.times.values())
 
 
-def test_messages_are_counted_at_the_members(five):
-    start = stage(five, "start")
-    # Of each member: a first reading, a lease, the watch, the claim and the word, each read anew.
+def test_messages_are_counted_at_the_members(five_members):
+    start = stage(five_members, "start")
+    # Calls of each member: a first read, a lease, the watch, registration and heartbeat, each with a reread.
     assert start.calls >= 5 * 7 and start.store.connections == start.calls
     assert start.discovery.connections == 5
     assert start.store.sent > 0 and start.store.received > 0
-    lost = stage(five, "zone lost")
-    assert lost.discovery.connections == 0  # what changes comes on the watches that are open
-    assert lost.discovery.received >= 4 * len('"phase": "left"') * 2  # two instances, told to four members
+    lost = stage(five_members, "zone lost")
+    assert lost.discovery.connections == 0  # changes arrive on the open watches
+    # Two instances, reported to four members.
+    assert lost.discovery.received >= 4 * len('"phase": "left"') * 2
 
 
 def test_a_member_of_a_recorded_fleet_knows_all_of_it_and_each_change_of_a_zone():
-    run = run_fleet(Size(members=2, recorded=20, instances=4, watched=True), PATIENT)
+    run = run_fleet(Size(members=2, recorded=20, instances=4, watched=True), LONG_TIMEOUT)
     assert run.ended_by == "" and run.not_run == []
     assert [each.least_serving for each in run.stages] == [22, 22, 11, 22]
     assert run.watches_lost == 0
@@ -68,20 +69,20 @@
     assert (made.hollow, made.real) == (2, 1)
     for each in (made.cpu, made.calls, made.store_bytes, made.discovery_bytes):
         assert len(each.hollow) == len(each.real) == hollow_compare.WINDOWS
-    # Of each member over the three windows: its lease is extended, and discovery's watch says something.
+    # Within the three windows each member extends its lease and gets data on the watch of discovery.
     for each in (made.cpu, made.calls, made.store_bytes, made.discovery_bytes):
         assert sum(each.hollow) > 0 and sum(each.real) > 0
     assert made.real_memory > 0
 
 
-def test_a_play_that_does_not_come_to_its_end_says_where_and_what_was_not_run():
+def test_a_run_that_fails_names_the_stage_and_the_stages_not_run():
     run = run_fleet(Size(members=2, recorded=0, instances=4), Times(timeout=0.0))
     assert run.ended_by.startswith("start: not within 0 s; of 2: ")
     assert run.not_run == ["rest", "zone lost", "zone back"]
 
 
 @pytest.mark.parametrize(
-    ("arguments", "said"),
+    ("arguments", "message"),
     [
         (["--members", "0"], "expected a whole number from 1 to 5700, found '0'"),
         (["--members", "many"], "expected a whole number from 1 to 5700, found 'many'"),
@@ -94,11 +95,11 @@
         (["--size", "3"], "unrecognized arguments"),
     ],
 )
-def test_bad_arguments_get_one_clear_error(arguments, said, capsys):
+def test_bad_arguments_get_one_clear_error(arguments, message, capsys):
     with pytest.raises(SystemExit) as ended:
         hollow.main(arguments)
     assert ended.value.code == 2
-    assert said in capsys.readouterr().err
+    assert message in capsys.readouterr().err
 
 
 def test_more_members_than_descriptors_are_an_error(monkeypatch, capsys):
@@ -118,7 +119,7 @@
     assert json.loads(path.read_text()) == {"plays": 3}
 
 
-def test_results_hold_the_latest_play_of_each_size(tmp_path):
+def test_results_keep_the_latest_run_of_each_size(tmp_path):
     path = tmp_path / "hollow.json"
     results = Results("a machine")
     for ended in ("first", "second"):
@@ -132,12 +133,13 @@
     ]
 
 
-def test_a_play_makes_series_that_the_fits_read(five, tmp_path):
-    five.instances = INSTANCES
+def test_a_run_makes_series_that_the_fits_read(five_members, tmp_path):
+    five_members.instances = INSTANCES
     found = {
-        each.name: each for each in series([five, FleetRun(9, 991, INSTANCES, watched=True)], "a machine")
+        each.name: each
+        for each in series([five_members, FleetRun(9, 991, INSTANCES, watched=True)], "a machine")
     }
-    assert found["hollow.range_bytes"].points == (Point(5, float(five.rest.range_bytes)),)
+    assert found["hollow.range_bytes"].points == (Point(5, float(five_members.rest.range_bytes)),)
     assert found["hollow.zone_back_known"].sizes == [5]
     path = tmp_path / "hollow.json"
     write_results(Results(series=list(found.values())), path)
