--- a/tests/capacity/test_series.py
+++ b/tests/capacity/test_series.py
@@ -1,4 +1,4 @@
-"""Series as JSON, and what is said of a file that holds none."""
+"""Series as JSON, and the errors of files without series."""
 
 from pathlib import Path
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "[]", '{"series": [{}]}', '{"series": [{"points": 1}]}'])
-def test_a_file_that_is_not_in_form_is_named(tmp_path: Path, text: str) -> None:
+def test_a_malformed_file_is_named(tmp_path: Path, text: str) -> None:
     path = tmp_path / "bad.json"
     path.write_text(text)
     with pytest.raises(SeriesError, match=r"bad\.json"):
