--- a/benchmarks/capacity/charts.py
+++ b/benchmarks/capacity/charts.py
@@ -31,18 +31,18 @@
             if len(values) == 1 or (quick and series.limit is None):
                 continue
             try:
-                found = fit(series)
+                fitted = fit(series)
             except FitError:
                 continue
             path = folder / f"{series.name}.svg"
-            _chart(series, found, path)
+            _chart(series, fitted, path)
             print(path)
 
 
-def _chart(series: Series, found: Fit, path: Path) -> None:
+def _chart(series: Series, fitted: Fit, path: Path) -> None:
     figure, axes = plt.subplots(figsize=(6.0, 4.0), layout="constrained")
     _points(axes, series)
-    _line(axes, series, found)
+    _line(axes, series, fitted)
     if series.limit is not None:
         axes.axhline(series.limit, color="tab:red", label=f"limit: {series.limit:,.0f} {series.unit}")
     axes.set(xscale="log", yscale="log", xlabel=series.size_unit, ylabel=series.unit, title=series.title)
@@ -57,15 +57,15 @@
     axes.plot(sizes, [point.value for point in series.points], "o", markersize=4, label="measured")
 
 
-def _line(axes: Axes, series: Series, found: Fit) -> None:
+def _line(axes: Axes, series: Series, fitted: Fit) -> None:
     last = max(TARGETS.get(series.size_unit, 0), series.sizes[-1])
     ratio = (last / series.sizes[0]) ** (1 / 60)
     sizes = [series.sizes[0] * ratio**step for step in range(61)]
     axes.plot(
         sizes,
-        [max(found.law.predict(size), _lower_bound(series)) for size in sizes],
+        [max(fitted.law.predict(size), _lower_bound(series)) for size in sizes],
         "-",
-        label=_formula(found.law),
+        label=_formula(fitted.law),
     )
     if last > series.sizes[-1]:
         label = f"target: {last:,}, {last / series.sizes[-1]:.0f} times the largest measured"
