--- a/benchmarks/capacity/cost.py
+++ b/benchmarks/capacity/cost.py
@@ -27,9 +27,9 @@
     gc.collect()
     tracemalloc.start()
     try:
-        kept = work()
+        result = work()
         held, peak = tracemalloc.get_traced_memory()
-        del kept
+        del result
     finally:
         tracemalloc.stop()
     return float(held), float(peak)
