--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -97,8 +97,8 @@
 
 def law(points: Iterable[Point]) -> Law:
     """Return the line, or the power law if its residual is smaller; raises FitError."""
-    kept = list(points)
-    straight, curved = line(kept), power(kept)
+    point_list = list(points)
+    straight, curved = line(point_list), power(point_list)
     return straight if straight.residual <= curved.residual else curved
 
 
