--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -116,12 +116,12 @@
 
 def sizes(options: argparse.Namespace) -> list[Size]:
     """Return the fleet sizes to run."""
-    live = [Size(members, 0, options.instances) for members in options.members or []]
-    records = [
+    live_sizes = [Size(members, 0, options.instances) for members in options.members or []]
+    recorded_sizes = [
         Size(options.live, fleet - options.live, options.instances, options.watched)
         for fleet in options.recorded or []
     ]
-    return live + records
+    return live_sizes + recorded_sizes
 
 
 def main(arguments: list[str]) -> int:
