--- a/benchmarks/capacity/hollow_member.py
+++ b/benchmarks/capacity/hollow_member.py
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """What a process of members observed. Times in microseconds, without members that have none yet.
+    """What a process of members observed. Lists contain a time in microseconds for each member that has one.
 
     `listed`, `registered`: from a member's start to its first list, and until its snapshot contains its own
     record as serving. `list_known`, `fleet_known`: from the expectation's time until a member met it.
