--- a/benchmarks/capacity/hollow_play.py
+++ b/benchmarks/capacity/hollow_play.py
@@ -50,7 +50,7 @@
 class _Baseline:
     """Resources and traffic up to a time, from which a stage is measured."""
 
-    at: int
+    time_us: int
     usages: dict[str, Usage]
     calls: int
     store: Count
@@ -87,7 +87,9 @@
         baseline = self._take_baseline()
         for process in self._fleet.members:
             process.send({"do": "start"})
-            process.send({"do": "expect", "serving": self._size.fleet, "revision": 1, "since": baseline.at})
+            process.send(
+                {"do": "expect", "serving": self._size.fleet, "revision": 1, "since": baseline.time_us}
+            )
         for process in self._fleet.members:
             process.read()
             process.read()
@@ -126,11 +128,11 @@
         left = self._size.members - self._size.live_in_last_zone
         lost_at = monotonic_us()
         fleet.lose_zone()
-        baseline = replace(self._take_baseline(), at=lost_at)
+        baseline = replace(self._take_baseline(), time_us=lost_at)
         revision = fleet.change_instances("left")
         serving = self._size.fleet - self._size.in_last_zone
         for process in fleet.members:
-            process.ask({"do": "expect", "serving": serving, "revision": revision, "since": baseline.at})
+            process.ask({"do": "expect", "serving": serving, "revision": revision, "since": baseline.time_us})
         self._finish("zone lost", baseline, self._wait_for_members(), left)
 
     def _return_zone(self) -> None:
@@ -140,7 +142,12 @@
         fleet.last_zone.send({"do": "start"})
         fleet.record_zone(self._size.zones - 1)
         revision = fleet.change_instances("active")
-        expected = {"do": "expect", "serving": self._size.fleet, "revision": revision, "since": baseline.at}
+        expected = {
+            "do": "expect",
+            "serving": self._size.fleet,
+            "revision": revision,
+            "since": baseline.time_us,
+        }
         for process in self._fleet.members:
             process.send(expected)
         fleet.last_zone.read()
@@ -184,7 +191,7 @@
         stage = Stage(
             name=name,
             complete=complete,
-            seconds=(ended - baseline.at) / 1e6,
+            seconds=(ended - baseline.time_us) / 1e6,
             members=members,
             calls=calls - baseline.calls,
             store=store - baseline.store,
@@ -206,10 +213,10 @@
 
 def _errors(reports: list[Report]) -> Counter[str]:
     """Return how often members have logged each error."""
-    found: Counter[str] = Counter()
+    totals: Counter[str] = Counter()
     for report in reports:
-        found.update(report.errors)
-    return found
+        totals.update(report.errors)
+    return totals
 
 
 def _before(baseline: _Baseline, name: str) -> float:
@@ -232,10 +239,10 @@
 
 def _check_memory(fleet: Fleet) -> None:
     """Raise `StageFailed` if the run exceeds its share of memory, before the machine runs out."""
-    held = sum(used.memory for used in fleet.usages().values())
+    used_memory = sum(used.memory for used in fleet.usages().values())
     limit = MEMORY_SHARE * os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
-    if held > limit:
-        raise StageFailed(f"the play holds {held / 2**20:.0f} MB of {limit / 2**20:.0f}")
+    if used_memory > limit:
+        raise StageFailed(f"the play holds {used_memory / 2**20:.0f} MB of {limit / 2**20:.0f}")
 
 
 def run_fleet(size: Size, times: Times) -> FleetRun:
