--- a/benchmarks/capacity/hollow_series.py
+++ b/benchmarks/capacity/hollow_series.py
@@ -34,13 +34,13 @@
     Runs with another number of instances, with watches of recorded members, or with fewer live members than
     zones are left out.
     """
-    kept = [
+    selected = [
         run
         for run in plays
         if run.instances == INSTANCES and not run.watched and run.members >= min(ZONES, run.fleet)
     ]
-    made = [_series(cost, kept, machine) for cost in COSTS]
-    return [each for each in made if each.points]
+    all_series = [_series(cost, selected, machine) for cost in COSTS]
+    return [each for each in all_series if each.points]
 
 
 def _series(cost: _Cost, plays: list[FleetRun], machine: str) -> Series:
