--- a/benchmarks/capacity/request.py
+++ b/benchmarks/capacity/request.py
@@ -93,12 +93,12 @@
     began, at = processor_time(pid), time.monotonic()
     report = await open_loop(target, _even(rate, LOAD_DURATION_S), mix, 1, CLIENT_TIMEOUT_S, even=True)
     spent, lasted = processor_time(pid) - began, time.monotonic() - at
-    held = resident_memory(pid)
+    memory = resident_memory(pid)
     await target.close()
     served = sum(kind.endings[SERVED] for kind in report.kinds.values())
     if served < MIN_SERVED_SHARE * report.due:
         raise ValueError(f"{served} of {report.due} requests were served")
-    return {"time": spent / lasted * 1e6, "memory": float(held)}
+    return {"time": spent / lasted * 1e6, "memory": float(memory)}
 
 
 def measure(size: int) -> dict[str, float]:
