--- a/benchmarks/capacity/subsets.py
+++ b/benchmarks/capacity/subsets.py
@@ -113,8 +113,8 @@
     (folder / TABLE).write_text("\n".join(lines))
 
 
-def _line(found: Row) -> str:
+def _line(result: Row) -> str:
     return (
-        f"| {found.state} | {found.least} to {found.most} | {found.largest:,.0f} | {found.changed} | "
-        f"{found.fullest:.2f} |"
+        f"| {result.state} | {result.least} to {result.most} | {result.largest:,.0f} | {result.changed} | "
+        f"{result.fullest:.2f} |"
     )
