--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -57,19 +57,19 @@
 def _row(series: Series) -> str:
     sizes = f"{series.sizes[0]} to {series.sizes[-1]} {series.size_unit}" if series.points else "none"
     try:
-        found = fit(series)
+        fitted = fit(series)
     except FitError:
         cells = ["-"] * 8
     else:
-        error = found.prediction_error
+        error = fitted.prediction_error
         cells = [
-            f"{found.line.base:.4g}",
-            f"{found.line.slope:.4g}",
-            f"{found.line.residual:.1%}",
-            f"{found.power.exponent:.2f}",
-            f"{found.power.residual:.1%}",
-            type(found.law).__name__.lower(),
-            f"{found.spread:.1%}",
+            f"{fitted.line.base:.4g}",
+            f"{fitted.line.slope:.4g}",
+            f"{fitted.line.residual:.1%}",
+            f"{fitted.power.exponent:.2f}",
+            f"{fitted.power.residual:.1%}",
+            type(fitted.law).__name__.lower(),
+            f"{fitted.spread:.1%}",
             "-" if error is None else f"{error:.1%}",
         ]
     return "| " + " | ".join([f"`{series.name}`", sizes, series.unit, *cells, f"`{series.command}`"]) + " |"
