--- a/tests/capacity/test_hollow.py
+++ b/tests/capacity/test_hollow.py
@@ -65,14 +65,14 @@
 
 def test_real_dispatchers_are_counted_beside_hollow_members(monkeypatch):
     monkeypatch.setattr(hollow_compare, "SETTLE_TIME_S", 0.0)
-    made = hollow_compare.compare(hollow=2, real=1, window=2.0)
-    assert (made.hollow, made.real) == (2, 1)
-    for each in (made.cpu, made.calls, made.store_bytes, made.discovery_bytes):
+    comparison = hollow_compare.compare(hollow=2, real=1, window=2.0)
+    assert (comparison.hollow, comparison.real) == (2, 1)
+    for each in (comparison.cpu, comparison.calls, comparison.store_bytes, comparison.discovery_bytes):
         assert len(each.hollow) == len(each.real) == hollow_compare.WINDOWS
     # Within the three windows each member extends its lease and gets data on the watch of discovery.
-    for each in (made.cpu, made.calls, made.store_bytes, made.discovery_bytes):
+    for each in (comparison.cpu, comparison.calls, comparison.store_bytes, comparison.discovery_bytes):
         assert sum(each.hollow) > 0 and sum(each.real) > 0
-    assert made.real_memory > 0
+    assert comparison.real_memory > 0
 
 
 def test_a_run_that_fails_names_the_stage_and_the_stages_not_run():
@@ -157,5 +157,5 @@
     assert quantiles([], 3).count == 0
     each = quantiles([3_000_000, 1_000_000, 2_000_000], 4)
     assert (each.count, each.expected, each.p50, each.longest) == (3, 4, 2.0, 3.0)
-    made = ratio([2.0, 1.0], [[1.0, 3.0], [0.5, 1.5]])
-    assert made.ratios == [1.0, 1.0] and (made.real_least, made.real_most) == (0.5, 1.5)
+    ratios = ratio([2.0, 1.0], [[1.0, 3.0], [0.5, 1.5]])
+    assert ratios.ratios == [1.0, 1.0] and (ratios.real_least, ratios.real_most) == (0.5, 1.5)
