--- a/benchmarks/capacity/charts.py
+++ b/benchmarks/capacity/charts.py
@@ -1,4 +1,4 @@
-"""Charts of size against cost with the fit and the limit, as SVG, from the JSON files of a folder."""
+"""SVG charts of cost by size with the fit and the limit, from the JSON files of a folder."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 from benchmarks.capacity.series import Series
 from benchmarks.capacity.tables import all_series
 
-# The same bytes for the same figures, so that a chart changes in a commit only where a figure does.
+# A fixed salt keeps the SVG identical for identical figures, so that commits contain only real changes.
 STYLE: dict[Any, Any] = {"svg.hashsalt": "capacity", "svg.fonttype": "none", "font.size": 9}
-# Sizes at the target that a line is drawn to; see `target.py`.
+# Sizes at the target, to which the fitted line is extended; see `target.py`.
 TARGETS = {"list entries": 1_700_000, "members": 5_700}
 
 
 def draw(folder: Path, quick: bool = False) -> None:
-    """One chart a series that has a fit and more than one value; `quick`: of those that have a limit."""
+    """Draw each series that has a fit and more than one value; `quick`: only those with a limit."""
     with mpl.rc_context(STYLE):
         for series in all_series(folder):
             values = {point.value for point in series.points}
             if len(values) == 1 or (quick and series.limit is None):
                 continue
             try:
-                found = fit(series)
+                fitted = fit(series)
             except FitError:
                 continue
             path = folder / f"{series.name}.svg"
-            _chart(series, found, path)
+            _chart(series, fitted, path)
             print(path)
 
 
-def _chart(series: Series, found: Fit, path: Path) -> None:
+def _chart(series: Series, fitted: Fit, path: Path) -> None:
     figure, axes = plt.subplots(figsize=(6.0, 4.0), layout="constrained")
     _points(axes, series)
-    _line(axes, series, found)
+    _line(axes, series, fitted)
     if series.limit is not None:
         axes.axhline(series.limit, color="tab:red", label=f"limit: {series.limit:,.0f} {series.unit}")
     axes.set(xscale="log", yscale="log", xlabel=series.size_unit, ylabel=series.unit, title=series.title)
@@ -57,12 +57,15 @@
     axes.plot(sizes, [point.value for point in series.points], "o", markersize=4, label="measured")
 
 
-def _line(axes: Axes, series: Series, found: Fit) -> None:
+def _line(axes: Axes, series: Series, fitted: Fit) -> None:
     last = max(TARGETS.get(series.size_unit, 0), series.sizes[-1])
     ratio = (last / series.sizes[0]) ** (1 / 60)
     sizes = [series.sizes[0] * ratio**step for step in range(61)]
     axes.plot(
-        sizes, [max(found.law.at(size), _least(series)) for size in sizes], "-", label=_formula(found.law)
+        sizes,
+        [max(fitted.law.predict(size), _lower_bound(series)) for size in sizes],
+        "-",
+        label=_formula(fitted.law),
     )
     if last > series.sizes[-1]:
         label = f"target: {last:,}, {last / series.sizes[-1]:.0f} times the largest measured"
@@ -75,6 +78,6 @@
     return f"{law.factor:.3g} x size ^ {law.exponent:.2f}"
 
 
-def _least(series: Series) -> float:
-    """Guards the logarithmic axis against a line whose base is below 0."""
+def _lower_bound(series: Series) -> float:
+    """Return a positive bound for a line whose base is below 0, as a logarithmic axis needs one."""
     return statistics.median(series.values(series.sizes[0])) / 10
--- a/benchmarks/capacity/hollow_commands.py
+++ b/benchmarks/capacity/hollow_commands.py
@@ -1,6 +1,6 @@
-"""Commands to a process of the hollow fleet: one JSON object a line on its standard input.
+"""Commands to a process of the hollow fleet: one JSON object per line on its standard input.
 
-The end of the input ends the process, so that none outlives whoever started it.
+A process exits at the end of its input, so that it does not outlive its parent.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Wait
 
-INPUT = 0
-CHUNK = 65_536
+STDIN_FD = 0
+READ_SIZE = 65_536  # bytes
 
 
-def take_commands(loop: Loop, handle: Callable[[dict[str, Any]], dict[str, Any]]) -> Coroutine[None]:
-    """Hand each command to `handle`, and write what it returns as one line; stop the loop at the end."""
-    os.set_blocking(INPUT, False)
-    rest = b""
+def read_commands(loop: Loop, handle: Callable[[dict[str, Any]], dict[str, Any]]) -> Coroutine[None]:
+    """Pass each command to `handle` and write its result as one line; stop the loop at the end of input."""
+    os.set_blocking(STDIN_FD, False)
+    incomplete = b""
     while True:
         try:
-            data = os.read(INPUT, CHUNK)
+            data = os.read(STDIN_FD, READ_SIZE)
         except BlockingIOError:
-            yield Wait(INPUT, READABLE)
+            yield Wait(STDIN_FD, READABLE)
             continue
         if not data:
             loop.stop()
             return
-        *lines, rest = (rest + data).split(b"\n")
+        *lines, incomplete = (incomplete + data).split(b"\n")
         for line in lines:
-            answer(handle(json.loads(line)))
+            write_answer(handle(json.loads(line)))
 
 
-def answer(value: dict[str, Any]) -> None:
-    """Write one line to whoever started this process."""
+def write_answer(value: dict[str, Any]) -> None:
+    """Write one JSON line to the parent process."""
     sys.stdout.write(json.dumps(value) + "\n")
     sys.stdout.flush()
--- a/benchmarks/capacity/hollow_discovery.py
+++ b/benchmarks/capacity/hollow_discovery.py
@@ -1,10 +1,10 @@
-"""A stand-in for discovery: a list of instances in zones, of which one can be lost and come back.
+"""A stand-in for discovery: a list of instances in zones, one of which can be lost and restored.
 
     python -m benchmarks.capacity.hollow_discovery INSTANCES ZONES
 
-Serves `GET /api/targets`, whole or as a watch, over loopback, as `net/discovery.py` asks for it. Prints its
-port, then takes commands (`hollow_commands`): `{"zone": "z8", "phase": "left"}` changes all instances of a
-zone and answers with the revision that says so; `{"phase": ""}` changes nothing.
+Serves `GET /api/targets` over loopback as a full list or a watch, as `net/discovery.py` requests it. Prints
+its port, then reads commands (`hollow_commands`): `{"zone": "z8", "phase": "left"}` changes all instances of
+a zone and answers with the revision of that change; `{"phase": ""}` changes nothing.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from dataclasses import dataclass
 from typing import Any
 
-from benchmarks.capacity.hollow_commands import answer, take_commands
+from benchmarks.capacity.hollow_commands import read_commands, write_answer
 from pulleyroute.net.buffers import BufferPool
 from pulleyroute.net.http import ConnectionFailed, DeadlineExceeded, Malformed, Stream
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Task, Wait
 from pulleyroute.net.process import on_error
 
-BACKLOG = 4096  # the whole fleet may connect at once
-HEARTBEAT = 2_000_000  # us between two empty lines of a watch, as the protocol has it
+BACKLOG = 4096  # connections; the whole fleet may connect at once
+HEARTBEAT_INTERVAL_US = 2_000_000  # between empty lines of a watch; specified by the protocol
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 @dataclass(slots=True)
 class Instance:
-    """One entry of the list. `started`: Unix time in milliseconds."""
+    """One entry of the list. `started` is a Unix time in milliseconds."""
 
     name: str
     zone: str
@@ -37,7 +37,7 @@
     started: int = 1
 
     def entry(self) -> dict[str, Any]:
-        """Its form in the protocol."""
+        """Return the entry in the form of the protocol."""
         return {
             "id": self.name,
             "host_port": "127.0.0.1:1",
@@ -51,13 +51,13 @@
 
 
 class Discovery:
-    """Owns the list, its revision and the watches."""
+    """Serves the list; owns its revision and the watches."""
 
     def __init__(self, loop: Loop, instances: list[Instance]) -> None:
         self._loop, self._pool = loop, BufferPool()
         self._instances = instances
         self._revision = 1
-        self._changes: list[bytes] = []  # the one that made revision 2, and so on
+        self._changes: list[bytes] = []  # the first one led to revision 2
         self._watches: list[Task] = []
         self._socket = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
         self._socket.setblocking(False)
@@ -65,7 +65,7 @@
         loop.spawn(self._accept(), "accept")
 
     def change(self, zone: str, phase: str) -> int:
-        """Put all instances of a zone into a phase; returns the revision that says so."""
+        """Set the phase of all instances of a zone; returns the list's revision after the change."""
         changed = [each for each in self._instances if each.zone == zone and phase]
         for each in changed:
             each.phase = phase
@@ -82,7 +82,7 @@
         members = [each.entry() for each in instances]
         return json.dumps({"revision": self._revision, "complete": complete, "members": members}).encode()
 
-    def _whole(self) -> bytes:
+    def _full_list(self) -> bytes:
         return self._list([each for each in self._instances if each.phase != "left"], complete=True)
 
     def _accept(self) -> Coroutine[None]:
@@ -107,7 +107,7 @@
             if b"watch=1" in message.target:
                 yield from self._watch(stream, int(message.target.rpartition(b"=")[2]))
             else:
-                yield from stream.answer(200, self._whole(), [], True, None)
+                yield from stream.answer(200, self._full_list(), [], True, None)
         except (ConnectionFailed, DeadlineExceeded, Malformed):
             pass
         finally:
@@ -116,33 +116,33 @@
     def _watch(self, stream: Stream, known: int) -> Coroutine[None]:
         yield from stream.send(WATCH_HEAD, None)
         if known < 1 or known > self._revision:
-            yield from stream.send(_chunk(self._whole()), None)
+            yield from stream.send(_chunk(self._full_list()), None)
             known = self._revision
         while True:
             while known < self._revision:
                 change = self._changes[known - 1]
                 known += 1
                 yield from stream.send(_chunk(change), None)
-            yield Wait(until=self._loop.now() + HEARTBEAT)
+            yield Wait(until=self._loop.now() + HEARTBEAT_INTERVAL_US)
             if known == self._revision:
                 yield from stream.send(_chunk(b""), None)
 
 
-def _chunk(word: bytes) -> bytes:
-    return b"%x\r\n%s\n\r\n" % (len(word) + 1, word)
+def _chunk(line: bytes) -> bytes:
+    return b"%x\r\n%s\n\r\n" % (len(line) + 1, line)
 
 
 def main() -> None:
-    """Serve until the standard input ends."""
+    """Serve until the end of the standard input."""
     instances, zones = int(sys.argv[1]), int(sys.argv[2])
     now = time.time_ns() // 1_000_000
     loop = Loop(on_error)
     discovery = Discovery(
         loop, [Instance(f"instance-{i:07d}", f"z{i % zones}", started=now) for i in range(instances)]
     )
-    answer({"port": discovery.port})
+    write_answer({"port": discovery.port})
     loop.spawn(
-        take_commands(
+        read_commands(
             loop, lambda command: {"revision": discovery.change(command.get("zone", ""), command["phase"])}
         ),
         "commands",
--- a/benchmarks/capacity/hollow_series.py
+++ b/benchmarks/capacity/hollow_series.py
@@ -1,4 +1,4 @@
-"""The plays of hollow fleets as series of size against cost, for fits and charts of `docs/CAPACITY.md`."""
+"""The runs of hollow fleets as series of cost by size, for the fits and charts of `docs/CAPACITY.md`."""
 
 from __future__ import annotations
 
@@ -6,65 +6,68 @@
 from dataclasses import dataclass
 
 from benchmarks.capacity.hollow_fleet import ZONES
-from benchmarks.capacity.hollow_results import Play, RestCost, Stage
+from benchmarks.capacity.hollow_results import FleetRun, RestCost, Stage
 from benchmarks.capacity.series import Point, Series
 
 COMMAND = "python -m benchmarks.capacity.hollow --out docs/measured/capacity/hollow.json"
-MEMBERS = "members"  # as the charts name the size
-INSTANCES = 90  # of the list in the plays that make up a series
-# What a dispatcher may spend on control, from the users' target: bytes a second, share of a core, bytes.
+MEMBERS = "members"  # the size unit in the charts
+INSTANCES = 90  # in the list, in the runs that make up a series
+# Limits of the control cost of one dispatcher in the users' target: bytes per second, share of a core, bytes.
 BYTES_LIMIT, CORE_LIMIT, MEMORY_LIMIT = 11_000.0, 0.011, 32e6
 
 
 @dataclass(slots=True, frozen=True)
 class _Cost:
-    """One cost: how it is read from a play, None where the play does not say it."""
+    """One cost; `read` returns its value in a run, or None if the run did not measure it."""
 
     name: str
     title: str
     unit: str
-    read: Callable[[Play], float | None]
+    read: Callable[[FleetRun], float | None]
     limit: float | None = None
     note: str = ""
 
 
-def series(plays: Iterable[Play], machine: str) -> list[Series]:
-    """All costs that at least one play says.
+def series(plays: Iterable[FleetRun], machine: str) -> list[Series]:
+    """Return the series of all costs that at least one run measured.
 
-    Plays of other lists, of bare watches and of fleets with fewer live members than zones are left out.
+    Runs with another number of instances, with watches of recorded members, or with fewer live members than
+    zones are left out.
     """
-    kept = [
-        play
-        for play in plays
-        if play.instances == INSTANCES and not play.watched and play.members >= min(ZONES, play.fleet)
+    selected = [
+        run
+        for run in plays
+        if run.instances == INSTANCES and not run.watched and run.members >= min(ZONES, run.fleet)
     ]
-    made = [_series(cost, kept, machine) for cost in COSTS]
-    return [each for each in made if each.points]
+    all_series = [_series(cost, selected, machine) for cost in COSTS]
+    return [each for each in all_series if each.points]
 
 
-def _series(cost: _Cost, plays: list[Play], machine: str) -> Series:
-    points = tuple(Point(play.fleet, value) for play in plays if (value := cost.read(play)) is not None)
+def _series(cost: _Cost, plays: list[FleetRun], machine: str) -> Series:
+    points = tuple(Point(run.fleet, value) for run in plays if (value := cost.read(run)) is not None)
     return Series(
         f"hollow.{cost.name}", cost.title, cost.unit, MEMBERS, COMMAND, points, cost.limit, machine, cost.note
     )
 
 
-def _rest(read: Callable[[RestCost], float], alive: bool | None = None) -> Callable[[Play], float | None]:
-    """From the cost at rest; `alive`: only where all members live (True), or only where some do (False)."""
+def _rest(read: Callable[[RestCost], float], alive: bool | None = None) -> Callable[[FleetRun], float | None]:
+    """Read the cost at rest; `alive`: only with all members live (True), or with some recorded (False)."""
 
-    def value(play: Play) -> float | None:
-        wanted = alive is None or alive == (play.recorded == 0)
-        return read(play.rest) if play.rest is not None and wanted else None
+    def value(run: FleetRun) -> float | None:
+        wanted = alive is None or alive == (run.recorded == 0)
+        return read(run.rest) if run.rest is not None and wanted else None
 
     return value
 
 
-def _stage(name: str, read: Callable[[Stage], float], alive: bool = False) -> Callable[[Play], float | None]:
-    """From one stage that came to its end."""
+def _stage(
+    name: str, read: Callable[[Stage], float], alive: bool = False
+) -> Callable[[FleetRun], float | None]:
+    """Read a value of one stage, if it completed; `alive`: only of runs with all members live."""
 
-    def value(play: Play) -> float | None:
-        stage = next((each for each in play.stages if each.name == name and each.complete), None)
-        return None if stage is None or (alive and play.recorded) else read(stage)
+    def value(run: FleetRun) -> float | None:
+        stage = next((each for each in run.stages if each.name == name and each.complete), None)
+        return None if stage is None or (alive and run.recorded) else read(stage)
 
     return value
 
--- a/benchmarks/capacity/hollow_watches.py
+++ b/benchmarks/capacity/hollow_watches.py
@@ -1,9 +1,9 @@
-"""Watches of the store that nobody acts on: the load that recorded members' watches put on it.
+"""Watches of the store whose events are discarded, to add the load of recorded members' watches.
 
     python -m benchmarks.capacity.hollow_watches STORE_PORT COUNT
 
-Each is opened as an agent opens its own, and what comes is read and dropped. Any command (`hollow_commands`)
-is answered with how many watches stand, how many were lost, and the bytes read.
+Each watch is opened as an agent opens its own; its events are read and discarded. Any command
+(`hollow_commands`) is answered with the numbers of open and of lost watches, and the bytes read.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 import h11
 
-from benchmarks.capacity.hollow_commands import answer, take_commands
+from benchmarks.capacity.hollow_commands import read_commands, write_answer
 from benchmarks.capacity.hollow_config import GROUP
 from pulleyroute.fleet.records import Keys
 from pulleyroute.net.buffers import BufferPool
@@ -22,32 +22,32 @@
 from pulleyroute.net.loop import READABLE, Coroutine, Loop, Wait
 from pulleyroute.net.process import on_error
 
-CONNECT_TIME = 10_000_000  # us
-SPACING = 1_000  # us between two watches that are opened
+CONNECT_TIMEOUT_US = 10_000_000
+OPEN_INTERVAL_US = 1_000  # between the openings of two watches
 
 
 class Watches:
-    """Owns the connections and their counts."""
+    """Owns the connections of the watches, and counts them."""
 
     def __init__(self, loop: Loop, port: int, count: int) -> None:
         self._loop, self._pool, self._address = loop, BufferPool(), ("127.0.0.1", port)
-        self.standing = self.lost = self.received = 0
+        self.open_count = self.lost = self.received = 0
         loop.spawn(self._open(count), "open")
 
     def _open(self, count: int) -> Coroutine[None]:
         for _ in range(count):
             self._loop.spawn(self._watch(), "watch")
-            yield Wait(until=self._loop.now() + SPACING)
+            yield Wait(until=self._loop.now() + OPEN_INTERVAL_US)
 
     def _watch(self) -> Coroutine[None]:
         try:
             stream = yield from connect(
-                self._loop, self._pool, self._address, self._loop.now() + CONNECT_TIME
+                self._loop, self._pool, self._address, self._loop.now() + CONNECT_TIMEOUT_US
             )
         except (ConnectionFailed, ConnectionLimitReached, DeadlineExceeded):
             self.lost += 1
             return
-        self.standing += 1
+        self.open_count += 1
         try:
             body = _request()
             head = h11.Request(
@@ -62,7 +62,7 @@
                     yield Wait(stream.fileno(), READABLE)
         except ConnectionFailed:
             pass
-        self.standing -= 1
+        self.open_count -= 1
         self.lost += 1
         stream.close()
 
@@ -74,15 +74,15 @@
 
 
 def main() -> None:
-    """Hold the watches until the standard input ends."""
+    """Keep the watches open until the end of the standard input."""
     loop = Loop(on_error)
     watches = Watches(loop, int(sys.argv[1]), int(sys.argv[2]))
 
     def report(_: object) -> dict[str, int]:
-        return {"standing": watches.standing, "lost": watches.lost, "received": watches.received}
+        return {"standing": watches.open_count, "lost": watches.lost, "received": watches.received}
 
-    loop.spawn(take_commands(loop, report), "commands")
-    answer(report(None))
+    loop.spawn(read_commands(loop, report), "commands")
+    write_answer(report(None))
     loop.run()
 
 
--- a/benchmarks/capacity/request.py
+++ b/benchmarks/capacity/request.py
@@ -1,10 +1,10 @@
-"""The data path: processor time of the real program by the rate of requests, over loopback.
+"""Cost of the data path: processor time of the real program by rate of requests, over loopback.
 
-The platform's dispatcher (`python -m pulleyroute`), the stand-in of a job box and the clients are processes
-of their own. Requests come at an even rate on kept connections, each is sent to a box, which takes it (202)
-and calls back on a connection of its own; probes and the watch run as in service. The size is the rate, the
-value the dispatcher's processor time in microseconds a second: the line's slope is the cost of one request,
-its base what the dispatcher costs without any.
+The platform's dispatcher (`python -m pulleyroute`), the stand-in of a job box and the clients are separate
+processes. Requests arrive at an even rate on persistent connections. Each is sent to a box, which accepts it
+(202) and calls back on another connection. Probes and the watch run as in production. The size is the rate;
+the value is the dispatcher's processor time in microseconds per second. The slope of the fitted line is the
+cost of one request, and its base is the cost of the dispatcher without requests.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from typing import Any
 
 from benchmarks.capacity import sample
-from benchmarks.capacity.cost import processor_time, resident
+from benchmarks.capacity.cost import processor_time, resident_memory
 from benchmarks.capacity.probes import stand_in
 from benchmarks.capacity.slope import ROOT, Cost, Slope
 from pulleyroute.emulator import Discovery
@@ -31,12 +31,12 @@
 from pulleyroute.lab.demo import free_port
 from pulleyroute.lab.load import SERVED, JobTarget, open_loop
 
-SECONDS = 5.0  # that a rate is kept up
-WARM_UP = 100  # requests before, which open the connections
-SLOTS = 64
-PATIENCE = 5.0  # seconds that a client waits
-LEAST_SERVED = 0.99
-CORE = 1e6  # microseconds of processor time a second: one core
+LOAD_DURATION_S = 5.0  # of each rate
+WARM_UP = 100  # requests before the measurement, which open the connections
+SLOTS = 64  # concurrent jobs of the box
+CLIENT_TIMEOUT_S = 5.0
+MIN_SERVED_SHARE = 0.99  # of the requests sent
+CORE_US_PER_S = 1e6  # processor time of one core
 
 
 def _config(listen: str, discovery: Discovery) -> dict[str, Any]:
@@ -54,8 +54,8 @@
 
 
 @contextmanager
-def program(folder: Path, listen: str, discovery: Discovery) -> Iterator[int]:
-    """The dispatcher, ready; its process id."""
+def dispatcher_process(folder: Path, listen: str, discovery: Discovery) -> Iterator[int]:
+    """Run the dispatcher; yields its process id once it is ready."""
     path = folder / "config.json"
     path.write_text(json.dumps(_config(listen, discovery)))
     environ = {**os.environ, "PROXY_CONFIG": str(path), "PULLEYROUTE_LOG": "ERROR"}
@@ -89,24 +89,24 @@
 async def _load(listen: str, rate: int, pid: int) -> dict[str, float]:
     target = JobTarget(listen)
     mix = Mix((("class-0", 1.0),))
-    await open_loop(target, _even(WARM_UP, 1.0), mix, 1, PATIENCE, even=True)
+    await open_loop(target, _even(WARM_UP, 1.0), mix, 1, CLIENT_TIMEOUT_S, even=True)
     began, at = processor_time(pid), time.monotonic()
-    report = await open_loop(target, _even(rate, SECONDS), mix, 1, PATIENCE, even=True)
+    report = await open_loop(target, _even(rate, LOAD_DURATION_S), mix, 1, CLIENT_TIMEOUT_S, even=True)
     spent, lasted = processor_time(pid) - began, time.monotonic() - at
-    held = resident(pid)
+    memory = resident_memory(pid)
     await target.close()
     served = sum(kind.endings[SERVED] for kind in report.kinds.values())
-    if served < LEAST_SERVED * report.due:
+    if served < MIN_SERVED_SHARE * report.due:
         raise ValueError(f"{served} of {report.due} requests were served")
-    return {"time": spent / lasted * 1e6, "memory": float(held)}
+    return {"time": spent / lasted * 1e6, "memory": float(memory)}
 
 
 def measure(size: int) -> dict[str, float]:
-    """The costs at so many requests a second."""
+    """Return the costs at `size` requests a second."""
     listen, discovery = f"127.0.0.1:{free_port()}", Discovery()
     with tempfile.TemporaryDirectory() as folder, stand_in("box", listen, SLOTS) as address:
         discovery.put("box", address)
-        with program(Path(folder), listen, discovery) as pid:
+        with dispatcher_process(Path(folder), listen, discovery) as pid:
             return asyncio.run(_load(listen, size, pid))
 
 
@@ -116,7 +116,7 @@
     (2, 6, 20, 66, 132, 200),
     (20, 66, 132),
     {
-        "time": Cost("Data path: the dispatcher's processor time a second", "us", CORE),
+        "time": Cost("Data path: the dispatcher's processor time a second", "us", CORE_US_PER_S),
         "memory": Cost("Data path: the dispatcher's resident memory", "bytes"),
     },
     measure,
--- a/benchmarks/capacity/store.py
+++ b/benchmarks/capacity/store.py
@@ -1,7 +1,7 @@
-"""The common store's client by the number of members: a read of the whole, and a permit's transaction.
+"""Cost of the shared store's client by number of members: a read of the group, and a permit's transaction.
 
-The store's stand-in is a process of its own on loopback; each call has a connection of its own, as in
-service. Times are processor time of the client's process, and of the stand-in's.
+The store's stand-in runs in a separate process and is called over loopback, with a new connection for each
+call, as in production. Times are the processor time of the client's process and of the stand-in.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from pulleyroute.net.http import parse_address
 from pulleyroute.net.loop import Coroutine, Loop
 
-CALLS = 20  # of each kind that a reading rests on
-PUTS = 50  # records of a transaction that fills the store
-PLACE = "127.0.0.1:0"
+CALLS = 20  # of each kind, over which a measurement is averaged
+PUTS_PER_TRANSACTION = 50  # while the store is filled
+LISTEN_ADDRESS = "127.0.0.1:0"
 
 
 @contextmanager
 def _stand_in() -> Iterator[tuple[int, tuple[str, int]]]:
-    """The store's stand-in: its process id and its address."""
-    command = [sys.executable, "-m", "pulleyroute.cli", "emulate", "store", PLACE]
+    """Run the store's stand-in; yields its process id and its address."""
+    command = [sys.executable, "-m", "pulleyroute.cli", "emulate", "store", LISTEN_ADDRESS]
     process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
     try:
         assert process.stdout is not None
@@ -43,27 +43,27 @@
 
 def _fill(client: Client, size: int) -> Coroutine[None]:
     pairs = [pair for number in range(size) for pair in member_records(number)]
-    for start in range(0, len(pairs), PUTS):
-        puts = [put(key, value) for key, value in pairs[start : start + PUTS]]
+    for start in range(0, len(pairs), PUTS_PER_TRANSACTION):
+        puts = [put(key, value) for key, value in pairs[start : start + PUTS_PER_TRANSACTION]]
         yield from client.call("/v3/kv/txn", {"success": puts})
 
 
-def _reading(client: Client) -> Coroutine[list[Item]]:
+def _read_group(client: Client) -> Coroutine[list[Item]]:
     _, items = yield from client.range(KEYS.prefix, KEYS.end)
     return items
 
 
 def _permit(client: Client, items: list[Item], number: int, until: int) -> Coroutine[None]:
-    """A permit as `agent.py` asks for it: the word of each member as it was read."""
-    words = [compare_unchanged(item) for item in items if item.key.startswith(KEYS.of("word", ""))]
+    """Request a permit as `agent.py` does, on condition that every heartbeat is still as read."""
+    heartbeats = [compare_unchanged(item) for item in items if item.key.startswith(KEYS.of("word", ""))]
     key = Item(KEYS.of("permit", member_name(number)))
-    other = yield from client.commit(key, b'{"incarnation":1}', until, compares=words)
+    other = yield from client.commit(key, b'{"incarnation":1}', until, compares=heartbeats)
     if other is not None:
         raise ValueError("the permit was not written")
 
 
 class _Meter:
-    """Processor time of both processes over a stretch, in microseconds a call."""
+    """Measures the processor time of both processes between `start` and `read`, in microseconds per call."""
 
     def __init__(self, store: int) -> None:
         self._store = store
@@ -78,22 +78,24 @@
         return client / CALLS * 1e6, store / CALLS * 1e6
 
 
-def _measuring(loop: Loop, client: Client, store: int, size: int, out: dict[str, float]) -> Coroutine[None]:
+def _measure_calls(
+    loop: Loop, client: Client, store: int, size: int, costs: dict[str, float]
+) -> Coroutine[None]:
     yield from _fill(client, size)
-    items = yield from _reading(client)
+    items = yield from _read_group(client)
     meter = _Meter(store)
     for _ in range(CALLS):
-        items = yield from _reading(client)
-    out["read"], out["read_store"] = meter.read()
+        items = yield from _read_group(client)
+    costs["read"], costs["read_store"] = meter.read()
     meter.start()
     for number in range(CALLS):
         yield from _permit(client, items, number, loop.now() + 10_000_000)
-    out["permit"], out["permit_store"] = meter.read()
+    costs["permit"], costs["permit_store"] = meter.read()
     loop.stop()
 
 
 def _call_bytes(address: tuple[str, int], path: str, body: Json) -> int:
-    """Of a call and its answer, heads and all, as `Client` writes it."""
+    """Return the size of a call as `Client` writes it and of its answer, including the HTTP heads."""
     data = json.dumps(body).encode()
     head = (
         f"POST {path} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\nContent-Type: application/json\r\n"
@@ -105,12 +107,12 @@
     return len(head) + len(data) + len(answer)
 
 
-def _text(data: bytes) -> str:
+def _base64(data: bytes) -> str:
     return b64encode(data).decode()
 
 
 def measure(size: int) -> dict[str, float]:
-    """The costs in a fleet of so many members."""
+    """Return the costs in a fleet of `size` members."""
     failed: list[Exception] = []
 
     def fail(name: str, exc: Exception) -> None:
@@ -118,19 +120,19 @@
         loop.stop()
 
     loop = Loop(fail)
-    out: dict[str, float] = {}
+    costs: dict[str, float] = {}
     with _stand_in() as (pid, address):
         client = Client(loop, BufferPool(), [address], 1)
-        loop.spawn(_measuring(loop, client, pid, size, out), "measuring")
+        loop.spawn(_measure_calls(loop, client, pid, size, costs), "measuring")
         loop.run()
-        group = {"key": _text(KEYS.prefix), "range_end": _text(KEYS.end)}
-        out["read_bytes"] = float(_call_bytes(address, "/v3/kv/range", group))
-        out["keepalive_bytes"] = float(
+        group = {"key": _base64(KEYS.prefix), "range_end": _base64(KEYS.end)}
+        costs["read_bytes"] = float(_call_bytes(address, "/v3/kv/range", group))
+        costs["keepalive_bytes"] = float(
             _call_bytes(address, "/v3/lease/keepalive", {"ID": "1234567890123456789"})
         )
     if failed:
         raise failed[0]
-    return out
+    return costs
 
 
 SLOPE = Slope(
--- a/benchmarks/capacity/subsets.py
+++ b/benchmarks/capacity/subsets.py
@@ -1,4 +1,4 @@
-"""The table of subsets: a zone's ring in several states, beside subsets drawn at random."""
+"""The table of subsets: the ring of a zone in several states, compared with random subsets."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from pathlib import Path
 from random import Random
 
-from benchmarks.capacity.ring import Ring, drawn, kept, load, uneven
+from benchmarks.capacity.ring import Ring, lognormal_rates, part_loads, parts_by_position, random_owner_counts
 from benchmarks.capacity.scale import RACKS, REPLICAS, SUBSET, ZONE_DESTINATIONS, ZONE_DISPATCHERS
 
 TABLE = "subsets.md"
-LEAST = 5
+MIN_REPLICAS = 5
 SEEDS, QUICK_SEEDS = 200, 10
-SIGMA = 0.5  # of the dispatchers' rates: one in twenty takes more than twice the median
-RING = Ring(ZONE_DISPATCHERS, REPLICAS, LEAST)
-PART = ZONE_DESTINATIONS / ZONE_DISPATCHERS  # destinations
+SIGMA = 0.5  # of the log-normal rates: one dispatcher in twenty exceeds twice the median
+RING = Ring(ZONE_DISPATCHERS, REPLICAS, MIN_REPLICAS)
+PART_DESTINATIONS = ZONE_DESTINATIONS / ZONE_DISPATCHERS
 
 COLUMNS = (
     "state",
@@ -30,9 +30,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """Over all seeds of a state: the least and most dispatchers of a destination, the largest subset in
-    destinations, the most subsets that changed though their dispatcher stayed, and the fullest destination's
-    load over the mean."""
+    """The figures of a state over all seeds.
+
+    `least`, `most`: the fewest and the most dispatchers of a destination; `largest`: the largest subset in
+    destinations; `changed`: the most subsets that changed although their dispatcher is present; `fullest`:
+    the load of the most loaded destination, relative to the mean.
+    """
 
     state: str
     least: int
@@ -43,12 +46,12 @@
 
 
 def _without(count: int) -> State:
-    """So many positions that nobody holds, at random."""
+    """Return a state in which `count` random positions are vacant."""
     return lambda random: set(range(ZONE_DISPATCHERS)) - set(random.sample(range(ZONE_DISPATCHERS), count))
 
 
 def _rack(random: Random) -> set[int]:
-    """A rack lost: neighbours on the ring lie in different racks."""
+    """Return the positions left when a rack is lost; neighbours on the ring are in different racks."""
     lost = random.randrange(RACKS)
     return {position for position in range(ZONE_DISPATCHERS) if position % RACKS != lost}
 
@@ -68,39 +71,41 @@
 
 
 def row(name: str, seeds: int) -> Row:
-    """A state of the ring over so many seeds."""
-    whole = kept(RING.keepers(set(range(ZONE_DISPATCHERS))))
+    """Compute the row of a state over `seeds` seeds."""
+    whole = parts_by_position(RING.owners(set(range(ZONE_DISPATCHERS))))
     counts: list[int] = []
     largest = changed = 0
     fullest = 0.0
     for seed in range(seeds):
         present = STATES[name](Random(seed))
-        keepers = RING.keepers(present)
-        parts = kept(keepers)
-        counts += [len(positions) for positions in keepers]
+        owners = RING.owners(present)
+        parts = parts_by_position(owners)
+        counts += [len(positions) for positions in owners]
         largest = max(largest, *(len(each) for each in parts.values()))
         changed = max(changed, sum(1 for position in present if parts[position] != whole[position]))
-        shares = load(keepers, uneven(present, seed, SIGMA))
+        shares = part_loads(owners, lognormal_rates(present, seed, SIGMA))
         fullest = max(fullest, max(shares) / (sum(shares) / len(shares)))
-    return Row(name, min(counts), max(counts), largest * PART, changed, fullest)
+    return Row(name, min(counts), max(counts), largest * PART_DESTINATIONS, changed, fullest)
 
 
 def report(folder: Path, seeds: int = SEEDS) -> None:
-    """Write and print the table."""
-    random_counts = drawn(ZONE_DESTINATIONS, ZONE_DISPATCHERS, SUBSET, 1)
-    few, none = int((random_counts < LEAST).sum()), int((random_counts == 0).sum())
+    """Write the table to the folder, and print it."""
+    random_counts = random_owner_counts(ZONE_DESTINATIONS, ZONE_DISPATCHERS, SUBSET, 1)
+    few, none = int((random_counts < MIN_REPLICAS).sum()), int((random_counts == 0).sum())
     lines = [
         "# Subsets of a zone",
         "",
         f"Made by `python -m benchmarks.capacity subsets`: {ZONE_DISPATCHERS} positions, {REPLICAS} a part,",
-        f"{LEAST} at least; {seeds} seeds a state; rates of dispatchers log-normal with a sigma of {SIGMA}.",
+        f"{MIN_REPLICAS} at least; {seeds} seeds a state; rates of dispatchers log-normal with a "
+        f"sigma of {SIGMA}.",
         "",
         "| " + " | ".join(COLUMNS) + " |",
         "|" + " --- |" * len(COLUMNS),
         *(_line(row(name, seeds)) for name in STATES),
         "",
         f"Drawn at random, {SUBSET:,} destinations each: {random_counts.min()} to {random_counts.max()}",
-        f"dispatchers a destination; {none:,} of {ZONE_DESTINATIONS:,} have none, {few:,} under {LEAST}.",
+        f"dispatchers a destination; {none:,} of {ZONE_DESTINATIONS:,} have none, "
+        f"{few:,} under {MIN_REPLICAS}.",
         "",
     ]
     print("\n".join(lines))
@@ -108,8 +113,8 @@
     (folder / TABLE).write_text("\n".join(lines))
 
 
-def _line(found: Row) -> str:
+def _line(result: Row) -> str:
     return (
-        f"| {found.state} | {found.least} to {found.most} | {found.largest:,.0f} | {found.changed} | "
-        f"{found.fullest:.2f} |"
+        f"| {result.state} | {result.least} to {result.most} | {result.largest:,.0f} | {result.changed} | "
+        f"{result.fullest:.2f} |"
     )
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -1,4 +1,4 @@
-"""The table of fits, from the JSON files of a folder."""
+"""The table of fits of the series in a folder's JSON files."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def all_series(folder: Path) -> list[Series]:
-    """The series of all files of a folder; raises SeriesError where there is none."""
+    """Read the series of all files of a folder; raises SeriesError if there are none."""
     found = [series for path in sorted(folder.glob("*.json")) for series in read(path)]
     if not found:
         raise SeriesError(f"{folder}: no series; measure some first")
@@ -33,7 +33,7 @@
 
 
 def fits(folder: Path) -> None:
-    """Write and print the table."""
+    """Write the table to the folder, and print it."""
     lines = ["| " + " | ".join(COLUMNS) + " |", "|" + " --- |" * len(COLUMNS)]
     lines += [_row(series) for series in all_series(folder)]
     print("\n".join(lines))
@@ -57,19 +57,19 @@
 def _row(series: Series) -> str:
     sizes = f"{series.sizes[0]} to {series.sizes[-1]} {series.size_unit}" if series.points else "none"
     try:
-        found = fit(series)
+        fitted = fit(series)
     except FitError:
         cells = ["-"] * 8
     else:
-        error = found.prediction_error
+        error = fitted.prediction_error
         cells = [
-            f"{found.line.base:.4g}",
-            f"{found.line.slope:.4g}",
-            f"{found.line.residual:.1%}",
-            f"{found.power.exponent:.2f}",
-            f"{found.power.residual:.1%}",
-            type(found.law).__name__.lower(),
-            f"{found.spread:.1%}",
+            f"{fitted.line.base:.4g}",
+            f"{fitted.line.slope:.4g}",
+            f"{fitted.line.residual:.1%}",
+            f"{fitted.power.exponent:.2f}",
+            f"{fitted.power.residual:.1%}",
+            type(fitted.law).__name__.lower(),
+            f"{fitted.spread:.1%}",
             "-" if error is None else f"{error:.1%}",
         ]
     return "| " + " | ".join([f"`{series.name}`", sizes, series.unit, *cells, f"`{series.command}`"]) + " |"
