--- a/pulleyroute/grpc/call.py
+++ b/pulleyroute/grpc/call.py
@@ -1,8 +1,8 @@
 """Forwards one call between the client's stream and the streams of its attempts.
 
 A `Call` owns the client's stream and ends exactly once; an `Upstream` owns the stream of one attempt. Flow
-control is end to end: bytes count against their sender's window until they have been written to the socket on
-the other side.
+control is end to end: bytes count against their sender's window until they have been framed on the other
+connection.
 """
 
 from __future__ import annotations
@@ -236,7 +236,7 @@
         self.attempt = attempt
         self.stream: Stream | None = None
         self.position = 0  # offset in the request up to which the stream has been given it
-        self.sent_bytes = 0  # bytes of the request that have been written to the socket
+        self.sent_bytes = 0  # bytes of the request that have been framed, as `StreamHandler.sent` reports
         self._on_finished = on_finished
         self._http_status = 0
         self._final_headers: Headers | None = None  # of a response that is trailers-only or not gRPC
