--- a/pulleyroute/fleet/__init__.py
+++ b/pulleyroute/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement between processes: a common store's client, and what rests on it. Off on the platform."""
+"""Agreement between processes by a shared store: its client and what is built on it. Off on the platform."""
--- a/pulleyroute/fleet/agent.py
+++ b/pulleyroute/fleet/agent.py
@@ -104,9 +104,7 @@
         self._lease: Lease | None = None
         self._extend_at = 0  # when the lease is to be extended
         self._mirror: dict[bytes, Item] = {}
-        self._updates_during_read: dict[bytes, Item] | None = (
-            None  # from the watch; None if no read is running
-        )
+        self._updates_during_read: dict[bytes, Item] | None = None  # of the watch; None outside of a read
         self._read_revision = 0  # of the last read of all records
         self._read_requested_at = 0  # time of its request
         self._snapshot: Snapshot | None = None  # of the mirror; None if that has changed since
@@ -254,7 +252,7 @@
         )
 
     def _registration_unchanged(self) -> list[Json]:
-        """Return the comparison that every write of the process has to carry.
+        """Return the comparison that goes with every write but the registration itself.
 
         It keeps a process that was stalled, and replaced by a newer one meanwhile, from changing any record.
         """
@@ -331,8 +329,8 @@
             settings.bounds,
         )
         if step.action in (Action.STANDBY, Action.LEAVE) and not self._may_leave_service():
-            # A process that was stalled may act on an old mirror, in which its permit no longer exists in the
-            # store. Leaving service on it would break the limits.
+            # The mirror of a process that was stalled may be out of date: its permit may have been removed and
+            # another member's granted. If the process left service then, the limits would be exceeded.
             yield from self._read_all()
             self._changed = True
             return
