--- a/pulleyroute/fleet/store.py
+++ b/pulleyroute/fleet/store.py
@@ -113,7 +113,7 @@
     def __init__(self, loop: Loop, pool: BufferPool, endpoints: list[tuple[str, int]], seed: int) -> None:
         self._loop, self._pool = loop, pool
         self._endpoints = endpoints
-        self._endpoint = 0
+        self._endpoint_index = 0
         self._random = Random(seed)
         self.calls = 0
 
@@ -122,7 +122,7 @@
     def _stream(self, path: str, body: Json, until: int) -> Coroutine[Any]:
         """Open a connection and send the request; raises `StoreUnavailable`."""
         self.calls += 1
-        address = self._endpoints[self._endpoint % len(self._endpoints)]
+        address = self._endpoints[self._endpoint_index % len(self._endpoints)]
         data = json.dumps(body).encode()
         stream = None
         try:
@@ -138,11 +138,11 @@
             )
             yield from stream.send(stream.frame(head, data), until)
         except (ConnectionFailed, ConnectionLimitReached, DeadlineExceeded, Malformed) as exc:
-            self._endpoint += 1
+            self._endpoint_index += 1
             if stream is not None:
                 stream.close()
             # The store doesn't carry out a request that it has not received completely.
-            raise StoreUnavailable(str(exc) or "connecting timed out", maybe_applied=False) from None
+            raise StoreUnavailable(str(exc) or "the call could not be sent before the timeout", maybe_applied=False) from None
         return stream
 
     def call(self, path: str, body: Json) -> Coroutine[Json]:
@@ -155,7 +155,7 @@
             if not isinstance(value, dict):
                 raise ValueError("the answer is not a JSON object")
         except (ConnectionFailed, DeadlineExceeded, Malformed, ValueError, RecursionError) as exc:
-            self._endpoint += 1
+            self._endpoint_index += 1
             raise StoreUnavailable(str(exc) or "no answer before the timeout", maybe_applied=True) from None
         finally:
             stream.close()
@@ -164,7 +164,7 @@
         code = value.get("code")
         if code == UNAVAILABLE or answer.status >= 500 or not isinstance(code, int):
             # etcd also answers so when it loses its leader during a call, and may have committed before.
-            self._endpoint += 1
+            self._endpoint_index += 1
             raise StoreUnavailable(f"status {answer.status}: {value.get('message')}", maybe_applied=True)
         raise StoreRejected(code, str(value.get("message")))
 
@@ -240,7 +240,7 @@
             TypeError,
             RecursionError,
         ) as exc:
-            self._endpoint += 1
+            self._endpoint_index += 1
             raise StoreUnavailable(
                 str(exc) or "no message from the watch before the timeout", maybe_applied=False
             ) from None
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -219,7 +219,8 @@
 
 
 def test_a_process_that_was_stalled_reads_the_store_before_it_leaves_service(fleet):
-    # Failure: a permit that an operator removed meanwhile may have been granted to another member.
+    # Failure: the process left service on a permit that an operator had removed meanwhile, and that another
+    # member could have got since.
     together(fleet, "a", "b", "c")
     agent = fleet.agents["a"]
     fleet.do(fleet.operator.drain("a", "standby", ""))
