--- a/pulleyroute/fleet/agent.py
+++ b/pulleyroute/fleet/agent.py
@@ -329,8 +329,8 @@
             settings.bounds,
         )
         if step.action in (Action.STANDBY, Action.LEAVE) and not self._may_leave_service():
-            # The mirror of a process that was stalled may be out of date: its permit may have been removed, and
-            # another member may have got one. If it left service then, the limits would be exceeded.
+            # The mirror of a process that was stalled may be out of date: its permit may have been removed,
+            # and another member may have got one. If it left service then, the limits would be exceeded.
             yield from self._read_all()
             self._changed = True
             return
--- a/pulleyroute/fleet/release.py
+++ b/pulleyroute/fleet/release.py
@@ -313,7 +313,7 @@
 def _regression(release: Release, new: JobCounts, others: JobCounts) -> str | None:
     """Return why the new version counts as failing; None if it doesn't.
 
-    Its share of jobs served has to be below that before the release, and below that of the other members now.
+    It does if its share of jobs served is below that before the release and below that of the others now.
     """
     (good, ended), (other_good, other_ended) = new, others
     if ended < MIN_JOBS_ENDED:
--- a/pulleyroute/fleet/store.py
+++ b/pulleyroute/fleet/store.py
@@ -142,7 +142,7 @@
             if stream is not None:
                 stream.close()
             # The store doesn't carry out a request that it has not received completely.
-            raise StoreUnavailable(str(exc) or "the call could not be sent before the timeout", maybe_applied=False) from None
+            raise StoreUnavailable(str(exc) or "sending the call timed out", maybe_applied=False) from None
         return stream
 
     def call(self, path: str, body: Json) -> Coroutine[Json]:
