--- a/pulleyroute/__main__.py
+++ b/pulleyroute/__main__.py
@@ -169,12 +169,12 @@
 
 
 def reserved_descriptors(config: Config) -> int:
-    """Return how many ensure_descriptors the process itself and the admin listener need."""
+    """Return how many descriptors the process itself and the admin listener need."""
     return RESERVED_DESCRIPTORS + (ADMIN_DESCRIPTORS if config.management is not None else 0)
 
 
 def descriptor_budget(config: Config) -> int:
-    """Return how many ensure_descriptors there are for clients and instances."""
+    """Return how many descriptors there are for clients and instances."""
     return ensure_descriptors(config.sockets) - reserved_descriptors(config)
 
 
